--- a/packages/node/src/persimmonusher_node/announcements.py
+++ b/packages/node/src/persimmonusher_node/announcements.py
@@ -16,11 +16,11 @@
 from persimmonusher_node.protocol import ENVIRON_KEY
 
 ANNOUNCE_PATH: Final = "/announce"
-LARGEST_ANNOUNCEMENT: Final = 16_384
-"""Bytes; an announcement is a few hundred."""
-BODY_SECONDS: Final = 5.0
-SHARE_OF_TIMEOUT: Final = 3
-"""Two announcements in a row may be lost before the server is taken as lost."""
+MAX_ANNOUNCEMENT_BYTES: Final = 16_384
+"""An announcement has a few hundred."""
+BODY_TIMEOUT_SECONDS: Final = 5.0
+ANNOUNCEMENTS_PER_TIMEOUT: Final = 3
+"""Two announcements in a row may be lost before the server is considered lost."""
 
 _Name = Annotated[str, Field(min_length=1, max_length=128, pattern=r"^[A-Za-z0-9._:-]+$")]
 _Address = Annotated[str, Field(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
@@ -57,7 +57,7 @@
 
 
 class RefusedAnnouncementError(Exception):
-    """An announcement with everything that is wrong with it."""
+    """A refused announcement, with a finding for everything that is wrong with it."""
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__("the announcement was refused")
@@ -65,7 +65,7 @@
 
 
 def parse_announcement(body: bytes) -> BackendServer:
-    """Check an announcement as a whole; raise RefusedAnnouncementError with every finding."""
+    """Parse an announcement; raise RefusedAnnouncementError with all findings."""
     try:
         return Announcement.model_validate(json.loads(body)).to_server()
     except (ValueError, RecursionError) as error:
@@ -81,12 +81,12 @@
 
     def __init__(self, directory: ServerDirectory, heartbeat_timeout: float) -> None:
         self._directory = directory
-        self._again_ms = int(heartbeat_timeout * 1000.0 / SHARE_OF_TIMEOUT)
+        self._announce_again_ms = int(heartbeat_timeout * 1000.0 / ANNOUNCEMENTS_PER_TIMEOUT)
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request, as WSGI wants it."""
+        """Answer one request, by the WSGI protocol."""
         status, document = self._answer(environ)
         body = json.dumps(document).encode() + b"\n"
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
@@ -99,7 +99,7 @@
         if environ["REQUEST_METHOD"] != "POST":
             return HTTPStatus.METHOD_NOT_ALLOWED, _describe("bad-request", "announce by POST")
         try:
-            body = read_body(environ["wsgi.input"], LARGEST_ANNOUNCEMENT, BODY_SECONDS)
+            body = read_body(environ["wsgi.input"], MAX_ANNOUNCEMENT_BYTES, BODY_TIMEOUT_SECONDS)
         except BodyError as error:
             environ[ENVIRON_KEY].close_unread()
             return HTTPStatus.BAD_REQUEST, _describe("bad-request", str(error))
@@ -109,11 +109,12 @@
             return HTTPStatus.BAD_REQUEST, _list_findings(error.findings)
         taken = self._directory.announce(server)
         if not self._directory.relays_announcements():
-            # This instance is cut off: it lists a server that says it is leaving as such, but no
-            # other instance would hear of it. The server asks the balancer for another one.
+            # This instance is cut off: it lists the server as announced, leaving for example, but no
+            # other instance learns of it. On the 503 the server announces again, and the balancer
+            # gives it another instance.
             message = "this instance is cut off from the others; announce again at once"
             return HTTPStatus.SERVICE_UNAVAILABLE, _describe("unavailable", message)
-        return HTTPStatus.OK, {"taken": taken, "announce_again_ms": self._again_ms}
+        return HTTPStatus.OK, {"taken": taken, "announce_again_ms": self._announce_again_ms}
 
 
 def _describe(code: str, message: str) -> dict[str, Any]:
--- a/packages/node/src/persimmonusher_node/answers.py
+++ b/packages/node/src/persimmonusher_node/answers.py
@@ -20,7 +20,7 @@
 
 
 class AnswerCode(Enum):
-    """Codes of the errors that the entry answers itself; stable for programs."""
+    """Codes of the errors that the entry answers itself; programs may rely on them."""
 
     BAD_REQUEST = "bad-request"
     NO_CONFIGURATION = "no-configuration"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class ErrorForm:
-    """How one code is answered: status, whether the request ran, and when to come back."""
+    """How one code is answered: status, whether the request ran, and when to retry."""
 
     status: int
     outcome: CallerOutcome
@@ -127,9 +127,10 @@
     outcome: CallerOutcome | None = None,
     decimals: int = 0,
 ) -> Answer:
-    """Make the entry's own error answer; `outcome` only ever replaces `not run`.
+    """Make the entry's own error answer; `outcome` replaces the default outcome of the code.
 
-    `retry_after` is rounded up to `decimals` places, as many as callers read.
+    A 503 becomes 502 unless the outcome is `not run`. `retry_after`, in seconds, is rounded up to
+    `decimals` places, as many as callers read.
     """
     form = FORMS[code]
     outcome = outcome or form.outcome
@@ -151,7 +152,7 @@
 
 
 def format_retry_after(seconds: float, decimals: int) -> str:
-    """Return a time to come back as callers read it, never 0.
+    """Return a Retry-After value as callers read it, never 0.
 
     >>> format_retry_after(0.234, 0), format_retry_after(0.234, 2), format_retry_after(3.0, 2)
     ('1', '0.24', '3')
@@ -161,7 +162,7 @@
 
 
 def make_replay(stored: StoredAnswer, request_id: str) -> Answer:
-    """Make the answer to a resend from the stored answer of the first run."""
+    """Make the answer to a resend from the stored answer of the first request."""
     answer = Answer(stored.status, stored.headers, stored.body, CallerOutcome.RAN)
     return answer.with_headers(
         (OUTCOME, CallerOutcome.RAN.value), (REPLAYED, "true"), (REQUEST_ID, request_id)
--- a/packages/node/src/persimmonusher_node/assessor_choice.py
+++ b/packages/node/src/persimmonusher_node/assessor_choice.py
@@ -1,4 +1,4 @@
-"""Which instances assess a service: the first in rendezvous order, and its deputy."""
+"""Chooses the instances that assess a service, by rendezvous hashing: an assessor and a deputy."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -8,15 +8,15 @@
 from persimmonusher_node.ports import Instance
 
 ASSESSOR_ROLE: Final = "assessor"
-CHOSEN: Final = 2
+ASSESSORS_PER_SERVICE: Final = 2
 
 
 class AssessorChoice:
-    """Remembers each service's choice until the live instances change.
+    """Caches each service's choice until the live instances change.
 
-    Where at least two live instances have the assessor role, only those are chosen. It is meant
-    for large fleets: ranking 2,500 instances for each service at each change of membership would
-    cost more than all else of control, ranking some fifty does not.
+    Where at least two live instances have the assessor role, only those are candidates. The role is
+    meant for large fleets: ranking 2,500 instances for each service at each change of membership
+    would cost more than all other control work; ranking some fifty does not.
     """
 
     def __init__(self) -> None:
@@ -31,15 +31,15 @@
         chosen = self._chosen.get(service)
         if chosen is None:
             domains = {name: str(one.failure_domain) for name, one in self._candidates.items()}
-            names = choose_spread(domains, f"assessor-{service}", CHOSEN)
+            names = choose_spread(domains, f"assessor-{service}", ASSESSORS_PER_SERVICE)
             chosen = [self._candidates[name] for name in names]
             self._chosen[service] = chosen
         return list(chosen)
 
     def _replace_live(self, live: Sequence[Instance]) -> None:
         self._live = live
-        set_aside = [one for one in live if ASSESSOR_ROLE in one.roles]
-        candidates = set_aside if len(set_aside) >= CHOSEN else live
+        dedicated = [one for one in live if ASSESSOR_ROLE in one.roles]
+        candidates = dedicated if len(dedicated) >= ASSESSORS_PER_SERVICE else live
         found = {str(one.instance_id): one for one in candidates}
         if found != self._candidates:
             self._candidates = found
--- a/packages/node/src/persimmonusher_node/assessors.py
+++ b/packages/node/src/persimmonusher_node/assessors.py
@@ -1,4 +1,4 @@
-"""The assessors that this instance holds: one for each service it was given evidence of."""
+"""The assessors that this instance runs: one for each service that others report to it."""
 
 from collections.abc import Callable
 from typing import Final
@@ -10,29 +10,30 @@
 from persimmonusher_model.profile import Profile
 from persimmonusher_node.ports import ConfigurationView, ServerDirectory
 
-ASSESS_SECONDS: Final = 0.1
-"""Period of the verdicts; shorter only adds processor time, as evidence comes in slices of it."""
-IDLE_SECONDS: Final = 60.0
-"""An assessor that nobody asked for so long is dropped: another instance holds the service now,
-and every lease that it gave has lapsed."""
-REPORTER_SECONDS: Final = 10.0
-"""Instances that reported this lately are told of a changed verdict."""
+ASSESSMENT_INTERVAL_SECONDS: Final = 0.1
+"""Interval between verdicts; a shorter one only adds processor time, as evidence comes in slices
+of this length."""
+IDLE_TIMEOUT_SECONDS: Final = 60.0
+"""An assessor that no instance has asked for this long is dropped: another instance assesses the
+service by then, and all leases that this one gave have lapsed."""
+REPORTER_RETENTION_SECONDS: Final = 10.0
+"""Instances that reported within this time are notified of a changed verdict."""
 
 
-class _Held:
-    """An assessor with the inputs it was last fed and its last verdict."""
+class _ActiveAssessor:
+    """An assessor with the inputs it was last given and its last verdict."""
 
     def __init__(self, assessor: Assessor, profile: Profile, now: float) -> None:
         self.assessor = assessor
         self.profile = profile
         self.servers_version = -1
         self.verdict = assessor.assess(now)
-        self.asked = now
+        self.last_asked = now
         self.reporters: dict[InstanceId, float] = {}
 
 
 class AssessorBook:
-    """Feeds, runs and drops assessors; `on_change` hears of each changed verdict."""
+    """Creates, updates, runs and drops assessors; calls `on_change` for each changed verdict."""
 
     def __init__(
         self,
@@ -49,7 +50,7 @@
         self._directory = directory
         self._clock = clock
         self._on_change = on_change
-        self._held: dict[ServiceName, _Held] = {}
+        self._active: dict[ServiceName, _ActiveAssessor] = {}
 
     def receive(
         self,
@@ -58,55 +59,62 @@
         domain: FailureDomain,
         digest: EvidenceDigest | None,
     ) -> EjectionSet | None:
-        """Take an instance's evidence, or only its question; None for an unknown service."""
+        """Process a report of evidence, or a request for the verdict where `digest` is None.
+
+        Returns the service's verdict, or None for a service without a profile.
+        """
         profile = self._view.find_profile(service)
         if profile is None:
             return None
         now = self._clock.monotonic()
-        held = self._held.get(service)
-        if held is None:
+        active = self._active.get(service)
+        if active is None:
             assessor = Assessor(service, profile, self._instance_id, self._epoch)
-            held = _Held(assessor, profile, now)
-            self._held[service] = held
-        self._feed(service, held, profile, now)
-        held.asked = now
-        held.reporters[reporter] = now
-        if held.assessor.add_domain(domain):
-            held.verdict = held.assessor.assess(now)
+            active = _ActiveAssessor(assessor, profile, now)
+            self._active[service] = active
+        self._update_inputs(service, active, profile, now)
+        active.last_asked = now
+        active.reporters[reporter] = now
+        if active.assessor.add_domain(domain):
+            active.verdict = active.assessor.assess(now)
         if digest is not None:
-            held.assessor.receive(digest, now)
-        return held.verdict
+            active.assessor.receive(digest, now)
+        return active.verdict
 
     def assess(self) -> None:
-        """Renew every verdict, and drop the assessors that nobody asks any more."""
+        """Renew every verdict, and drop the assessors that no instance asks any more."""
         now = self._clock.monotonic()
-        for service, held in list(self._held.items()):
+        for service, active in list(self._active.items()):
             profile = self._view.find_profile(service)
-            if profile is None or now - held.asked > IDLE_SECONDS:
-                del self._held[service]
+            if profile is None or now - active.last_asked > IDLE_TIMEOUT_SECONDS:
+                del self._active[service]
                 continue
-            self._feed(service, held, profile, now)
-            before = held.verdict
-            held.verdict = held.assessor.assess(now)
-            if held.verdict.tells_other_than(before):
-                self._on_change(service, self._list_reporters(held, now))
+            self._update_inputs(service, active, profile, now)
+            before = active.verdict
+            active.verdict = active.assessor.assess(now)
+            if active.verdict.tells_other_than(before):
+                self._on_change(service, self._list_reporters(active, now))
 
     def list_verdicts(self) -> tuple[EjectionSet, ...]:
         """List the verdicts of the services that this instance assesses, for operators."""
-        return tuple(held.verdict for held in self._held.values())
+        return tuple(active.verdict for active in self._active.values())
 
-    def _feed(self, service: ServiceName, held: _Held, profile: Profile, now: float) -> None:
-        if profile is not held.profile:
-            held.profile = profile
-            held.assessor.replace_profile(profile)
+    def _update_inputs(
+        self, service: ServiceName, active: _ActiveAssessor, profile: Profile, now: float
+    ) -> None:
+        if profile is not active.profile:
+            active.profile = profile
+            active.assessor.replace_profile(profile)
         version = self._directory.version(service)
-        if version != held.servers_version:
-            held.servers_version = version
-            held.assessor.replace_servers(self._directory.list_servers(service), now)
+        if version != active.servers_version:
+            active.servers_version = version
+            active.assessor.replace_servers(self._directory.list_servers(service), now)
 
-    def _list_reporters(self, held: _Held, now: float) -> tuple[InstanceId, ...]:
+    def _list_reporters(self, active: _ActiveAssessor, now: float) -> tuple[InstanceId, ...]:
         recent = {
-            name: asked for name, asked in held.reporters.items() if now - asked < REPORTER_SECONDS
+            name: reported
+            for name, reported in active.reporters.items()
+            if now - reported < REPORTER_RETENTION_SECONDS
         }
-        held.reporters = recent
+        active.reporters = recent
         return tuple(recent)
--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -1,6 +1,7 @@
 """Attempts of a request on backend servers: one, or two when the first is hedged.
 
-Each attempt is finished exactly once, whether it won, failed, lost or streams on.
+Each attempt is finished exactly once: when it wins, fails or is cancelled, or, where its answer is
+streamed, when the stream ends.
 """
 
 from collections.abc import Callable, Sequence
@@ -38,14 +39,14 @@
         OutcomeKind.WITHHELD,
     }
 )
-"""Ends of an attempt that prove that the backend server did not run the request."""
+"""Outcomes that prove that the backend server did not run the request."""
 
 _log = get_logger(__name__)
 
 
 @dataclass(frozen=True)
-class Ended:
-    """An attempt that brought a result; one whose answer streams on is not finished yet."""
+class EndedAttempt:
+    """An attempt with its result; it is not finished while its answer is still being streamed."""
 
     dispatch: Dispatch
     result: AttemptResult
@@ -53,12 +54,12 @@
 
     @property
     def is_streaming(self) -> bool:
-        """Tell whether the rest of the answer is still to come."""
+        """Return whether the rest of the answer is still to be read."""
         return isinstance(self.result, UpstreamAnswer) and self.result.stream is not None
 
 
 class Attempts:
-    """Carries out dispatches and reports their outcomes to the service's decisions."""
+    """Carries out dispatches and reports their outcomes to the service's traffic decisions."""
 
     def __init__(
         self,
@@ -73,12 +74,12 @@
         self._clock = clock
         self._lines = LineBudget(clock)
         self._deliver = deliver
-        self.publish: Callable[[Sequence[Notice]], None] = drop_notices
-        """Tells the other instances of failures."""
+        self.publish: Callable[[Sequence[Notice]], None] = discard_notices
+        """Publishes notices of failures, recoveries and limits to the other instances."""
         self._note_draining = note_draining
 
-    def carry_out(self, run: Run, dispatch: Dispatch) -> Ended:
-        """Make the attempt, hedged where the profile says so; waits for its result."""
+    def carry_out(self, run: Run, dispatch: Dispatch) -> EndedAttempt:
+        """Make the attempt, hedged where the profile says so; blocks until it has a result."""
         started = self._clock.monotonic()
         delay = None
         if run.request.idempotent and dispatch.attempt == 1:
@@ -91,20 +92,20 @@
             run.server_seconds += self._clock.monotonic() - started
 
     def finish(self, run: Run, dispatch: Dispatch, outcome: Outcome) -> None:
-        """Report the end of an attempt of a request."""
+        """Record the outcome of a request's attempt and report it to the service's traffic."""
         run.record.add_outcome(dispatch, outcome, self._clock.monotonic())
         if outcome.kind is OutcomeKind.DRAINING:
             self._note_draining(dispatch.server)
         self.settle(run.live, dispatch, outcome)
 
     def settle(self, live: LiveService, dispatch: Dispatch, outcome: Outcome) -> None:
-        """Report the end of an attempt and hand on what it releases."""
+        """Report an outcome to the service's traffic and deliver the decisions that it releases."""
         for released in live.traffic.finish(dispatch, outcome, self._clock.monotonic()):
             self._deliver(live, released)
         self._publish(live)
 
     def _publish(self, live: LiveService) -> None:
-        """Tell the other instances what was learned of servers here."""
+        """Log and publish the notices about servers that this instance has collected."""
         notices = live.traffic.take_notices()
         if not notices:
             return
@@ -113,8 +114,11 @@
                 log_notice(notice, live, self._lines, self._clock.monotonic())
         self.publish(notices)
 
-    def _take_advice(self, live: LiveService, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
-        """Hand on what a server asks for, also where its answer streams on."""
+    def _apply_advice(self, live: LiveService, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
+        """Pass a server's advice (rest, rate limit, leaving) to its service's traffic.
+
+        This happens as soon as the headers are read, so also for answers that are streamed.
+        """
         advice = read_advice(answer, self._dialect)
         if advice.rest_seconds and self._lines.take():
             _log.info(
@@ -130,7 +134,7 @@
             self._note_draining(dispatch.server)
         self._publish(live)
 
-    def _make(self, run: Run, dispatch: Dispatch) -> Ended:
+    def _make(self, run: Run, dispatch: Dispatch) -> EndedAttempt:
         started = self._clock.monotonic()
         request = make_upstream_request(
             run.call, run.request, dispatch.server, started, self._dialect
@@ -144,39 +148,39 @@
         )
         run.add_attempt(dispatch, attempt)
         outcome = Outcome(OutcomeKind.CANCELLED, 0.0)
-        ended: Ended | None = None
+        ended: EndedAttempt | None = None
         try:
             result = run_attempt(attempt)
-            outcome = judge(result, self._clock.monotonic() - started, self._dialect)
+            outcome = make_outcome(result, self._clock.monotonic() - started, self._dialect)
             if isinstance(result, UpstreamAnswer):
-                self._take_advice(run.live, dispatch, result)
+                self._apply_advice(run.live, dispatch, result)
             if outcome.kind not in NOT_RUN_KINDS and not is_unsent(result):
                 run.may_have_run = True
-            ended = Ended(dispatch, result, outcome)
+            ended = EndedAttempt(dispatch, result, outcome)
             return ended
         finally:
             if ended is None or not ended.is_streaming:
                 run.remove_attempt(dispatch)
                 self.finish(run, dispatch, outcome)
 
-    def _race(self, run: Run, first: Dispatch, delay: float) -> Ended:
-        """Make the attempt, and a second one where the first takes longer than the delay.
+    def _race(self, run: Run, first: Dispatch, delay: float) -> EndedAttempt:
+        """Make the attempt, and a second one where the first takes longer than `delay` seconds.
 
-        The first whole answer that tells of no failure wins; a failed copy is waited out while
-        the other still runs. Only idempotent work comes here, so both copies may run.
+        The first successful answer wins; when one copy fails, the other is still waited for. Only
+        idempotent requests are hedged, so both copies may run.
         """
         results: Queue = Queue()
         self._spawn(run, first, results)
         running = 1
         try:
-            ended: Ended | None = results.get(timeout=delay)
+            ended: EndedAttempt | None = results.get(timeout=delay)
         except Empty:
             ended = None
             now = self._clock.monotonic()
             second = run.live.traffic.hedge(first, now) if run.may_begin(now) else None
             if second is not None:
                 run.record.add_decision(second, self._clock.monotonic())
-                run.sent = second.attempt
+                run.hedge_attempt = second.attempt
                 self._spawn(run, second, results)
                 running = 2
         while ended is None or (running > 1 and ended.outcome.kind is not OutcomeKind.SUCCESS):
@@ -191,63 +195,63 @@
             try:
                 ended = self._make(run, dispatch)
             except Exception:
-                # Whoever waits for the race must hear of a fault here, or it waits for ever.
+                # Without a result in the queue `_race` would wait for ever.
                 _log.exception("attempt failed", request_id=run.request.request_id)
                 error = AttemptError(OutcomeKind.BROKEN, AnswerCode.INTERNAL, "a fault inside")
-                ended = Ended(dispatch, error, Outcome(OutcomeKind.BROKEN, 0.0))
-            if not run.settled:
+                ended = EndedAttempt(dispatch, error, Outcome(OutcomeKind.BROKEN, 0.0))
+            if not run.has_winner:
                 results.put(ended)
             elif isinstance(ended.result, UpstreamAnswer) and ended.result.stream is not None:
-                # It answered in the moment in which the other copy won: nobody reads this one.
+                # The other copy won at the same moment: nothing will read this answer.
                 close_stream(ended.result)
                 run.remove_attempt(dispatch)
                 self.finish(run, dispatch, Outcome(OutcomeKind.CANCELLED, ended.outcome.latency))
 
         spawn_n(make)
 
-    def _cancel_losers(self, run: Run, winner: Ended) -> None:
-        run.settled = True
-        run.cancel_attempts(OutcomeKind.CANCELLED, but=winner.dispatch)
+    def _cancel_losers(self, run: Run, winner: EndedAttempt) -> None:
+        run.has_winner = True
+        run.cancel_attempts(OutcomeKind.CANCELLED, except_for=winner.dispatch)
 
 
 def log_notice(
     notice: Notice, live: LiveService, lines: LineBudget, now: float, **fields: str
 ) -> None:
-    """Log what was learned of a server, where there is a line left for it."""
+    """Log a notice about a server, unless the line budget of this second is used up."""
     if not lines.take():
         return
     if notice.kind is NoticeKind.LIMITED:
         event = "server-limit"
-        learned: dict[str, object] = {"requests_a_second": notice.rate_limit}
+        details: dict[str, object] = {"requests_a_second": notice.rate_limit}
     else:
-        seconds = live.traffic.find_seconds_passed_by(notice.server_id, now)
-        event = name_event(notice, seconds)
-        learned = {"seconds": round(seconds, 1), "outcome": notice.kind.value}
+        excluded_seconds = live.traffic.find_seconds_passed_by(notice.server_id, now)
+        event = choose_event(notice, excluded_seconds)
+        details = {"seconds": round(excluded_seconds, 1), "outcome": notice.kind.value}
     _log.info(
         event,
         server=notice.server_id,
         service=notice.service,
         boot=notice.boot_id,
-        **learned,
+        **details,
         **fields,
         request_id=notice.request_id,
         lines_left_out=lines.take_left_out(),
     )
 
 
-def name_event(notice: Notice, seconds_passed_by: float) -> str:
-    """Return the name under which a failure or recovery is logged."""
+def choose_event(notice: Notice, excluded_seconds: float) -> str:
+    """Return the log event for a failure or recovery; 0 seconds means still in use."""
     if notice.kind is NoticeKind.RECOVERED:
         return "server-recovered"
-    return "server-passed-by" if seconds_passed_by else "server-doubted"
+    return "server-passed-by" if excluded_seconds else "server-doubted"
 
 
-def drop_notices(notices: Sequence[Notice]) -> None:
-    """Tell nobody, where an assessor pools the evidence instead."""
+def discard_notices(notices: Sequence[Notice]) -> None:
+    """Publish nothing; for instances whose evidence is pooled by an assessor instead."""
 
 
 def run_attempt(attempt: Attempt) -> AttemptResult:
-    """Return what the attempt brought, its failure included."""
+    """Run the attempt and return its answer, or its error instead of raising it."""
     try:
         return attempt.run()
     except AttemptError as error:
@@ -255,12 +259,12 @@
 
 
 def is_unsent(result: AttemptResult) -> bool:
-    """Tell whether the attempt ended before its first byte."""
+    """Return whether the attempt ended before the first byte of the request was sent."""
     return isinstance(result, AttemptError) and result.is_unsent
 
 
-def judge(result: AttemptResult, latency: float, dialect: Dialect = OWN_DIALECT) -> Outcome:
-    """Return the outcome that the decisions are told of."""
+def make_outcome(result: AttemptResult, latency: float, dialect: Dialect = OWN_DIALECT) -> Outcome:
+    """Return the outcome that is reported to the traffic decisions."""
     if isinstance(result, AttemptError):
         return Outcome(result.kind, latency)
     size = len(result.body) if result.stream is None else None
@@ -269,7 +273,7 @@
 
 
 def close_stream(answer: UpstreamAnswer) -> None:
-    """End the connection of an answer that nobody reads on."""
+    """Close the connection of an answer whose rest will not be read."""
     close = getattr(answer.stream, "close", None)
     if close is not None:
         close()
--- a/packages/node/src/persimmonusher_node/bodies.py
+++ b/packages/node/src/persimmonusher_node/bodies.py
@@ -1,4 +1,4 @@
-"""Reading a request's body within bounds of size and time."""
+"""Reading a request's body within limits of size and time."""
 
 from enum import Enum
 from typing import Any
@@ -23,7 +23,10 @@
 
 
 def read_body(source: Any, limit: int, seconds: float) -> bytes:
-    """Return the whole body from WSGI's input; raise BodyError where it can't be had."""
+    """Return the whole body from WSGI's input, at most `limit` bytes within `seconds`.
+
+    Raises BodyError where the body is larger, comes too late, breaks off or is framed wrongly.
+    """
     chunked = source.chunked_input
     length = source.content_length or 0
     if not chunked and not length:
--- a/packages/node/src/persimmonusher_node/caller_reader.py
+++ b/packages/node/src/persimmonusher_node/caller_reader.py
@@ -1,4 +1,4 @@
-"""The bytes that come from a caller, read ahead of the request that is being answered."""
+"""Reads a caller's connection ahead while one of its requests is being answered."""
 
 import socket
 from io import RawIOBase
@@ -6,78 +6,80 @@
 
 from eventlet.patcher import original
 
-LONGEST_AHEAD: Final = 65_536
-"""Bytes kept of what a caller sends before its turn: several heads of the largest kind. A caller
-that sends more waits for its answers, and is seen to leave as long as the kernel takes the rest."""
-READ_BYTES: Final = 16_384
+MAX_READ_AHEAD_BYTES: Final = 65_536
+"""Most bytes kept of requests that a caller sends early: several heads of the largest size.
+The kernel buffers what a caller sends beyond it; while the kernel has room for that, a departure of
+the caller is still detected."""
+READ_CHUNK_BYTES: Final = 16_384
 
 _select = original("select")
-"""The system's own: eventlet's has no `poll`."""
+"""The unpatched module: eventlet's `select` has no `poll`."""
 
 
 class CallerReader(RawIOBase):
     """The reading side of one caller's connection.
 
     Callers may send further requests before the first one is answered, and may leave meanwhile.
-    The end of a connection only shows behind the bytes that came before it; unless those are taken
+    The end of a connection is visible only after all earlier bytes are read; unless they are taken
     out of the kernel, the requests of a caller that left long ago would still be run.
     """
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
-        self._ahead = bytearray()
+        self._buffered = bytearray()
         self._ended = False
         self.is_shut = False
-        """Whether reading was ended on this side, so that an end says nothing of the caller."""
+        """Whether reading was shut down on this side, so that an end does not mean that the caller
+        left."""
 
     def readable(self) -> bool:
-        """Tell that this can be read."""
+        """Return True; io.RawIOBase's default is False."""
         return True
 
     def readinto(self, buffer: Any) -> int:
-        """Read what came ahead, else wait for more; 0 is the end."""
-        if self._ahead:
-            taken = self._ahead[: len(buffer)]
+        """Read buffered bytes, or else wait for more; return 0 at the end."""
+        if self._buffered:
+            taken = self._buffered[: len(buffer)]
             buffer[: len(taken)] = taken
-            del self._ahead[: len(taken)]
+            del self._buffered[: len(taken)]
             return len(taken)
         return 0 if self._ended else self._connection.recv_into(buffer)
 
     def shut(self) -> None:
-        """End reading: what has come is still read, and then there is an end."""
+        """Shut down reading; bytes that have arrived are still read, followed by the end."""
         self.is_shut = True
         try:
             self._connection.shutdown(socket.SHUT_RD)
         except OSError:
-            # The caller was faster: there is nothing left to shut.
+            # The caller has already closed the connection.
             return
 
     def has_caller_left(self) -> bool:
-        """Tell, without waiting, whether the caller has closed its connection."""
+        """Return, without waiting, whether the caller has closed its connection."""
         if self.is_shut:
             return False
         self._read_ahead()
-        return self._ended or (len(self._ahead) >= LONGEST_AHEAD and self._is_hung_up())
+        return self._ended or (len(self._buffered) >= MAX_READ_AHEAD_BYTES and self._is_hung_up())
 
     def _is_hung_up(self) -> bool:
-        """Tell whether the connection has ended behind bytes that the kernel still holds."""
+        """Return whether the caller closed after bytes that the kernel still buffers."""
         poll = _select.poll()
         poll.register(self._connection.fileno(), _select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def _read_ahead(self) -> None:
-        """Take what has come out of the kernel.
+        """Move the bytes that have arrived from the kernel into the buffer, without waiting.
 
         eventlet's own `recv` waits whatever the flags; the socket below it does not.
         """
-        below: socket.socket = getattr(self._connection, "fd", self._connection)
-        while not self._ended and len(self._ahead) < LONGEST_AHEAD:
+        raw_socket: socket.socket = getattr(self._connection, "fd", self._connection)
+        while not self._ended and len(self._buffered) < MAX_READ_AHEAD_BYTES:
             try:
-                data = below.recv(READ_BYTES, socket.MSG_DONTWAIT)
+                data = raw_socket.recv(READ_CHUNK_BYTES, socket.MSG_DONTWAIT)
             except BlockingIOError:
                 return
             except OSError:
-                # A reset: the caller is gone, and with it what it still wanted to read.
+                # A reset: the caller is gone and will read no answers.
                 data = b""
             self._ended = not data
-            self._ahead += data
+            self._buffered += data
--- a/packages/node/src/persimmonusher_node/callers.py
+++ b/packages/node/src/persimmonusher_node/callers.py
@@ -1,4 +1,4 @@
-"""The callers' WSGI application: reads a request within its bounds and writes its answer."""
+"""The WSGI application for callers: reads a request within its limits and writes its answer."""
 
 import re
 from collections.abc import Callable, Iterable, Iterator
@@ -27,37 +27,37 @@
 from persimmonusher_node.services import LiveService, RoutedService
 
 HEALTH_PATH: Final = "/.persimmonusher/health"
-"""The platform's balancer checks this path; 503 tells it to send no more callers here: while the
-instance stops, and until it has its first configuration after a start."""
+"""The platform's balancer checks this path. A 503 makes it send no more callers here: while the
+instance stops, and after a start until it has its first configuration."""
 UNNAMED: Final = "unnamed"
-"""The caller and class of a request that names none."""
+"""The caller or class of a request that names none."""
 LONGEST_DEADLINE_MS: Final = 600_000
-"""As in profiles; it bounds how long a graceful stop may take."""
-LONGEST_NAME: Final = 64
-UNTARGETED_SECONDS: Final = 1.0
-"""Time that a request needs before a stop cuts it off, where its route states no target."""
-STARTING_SECONDS: Final = 0.7
-"""Longest wait for the first configuration after a start: an election and the way here. A caller
-that gives up on a connection does so after a second."""
-STARTING_REQUESTS: Final = 256
-"""Requests that wait so at once; of more, an instance that has just started could serve few."""
-STARTING_POLL_SECONDS: Final = 0.02
-"""How late a waiting request may see the configuration: a fraction of a usual answer's time."""
-
-_NAME: Final = re.compile(rf"[A-Za-z0-9._:-]{{1,{LONGEST_NAME}}}")
-_PHRASES: Final = {status.value: f"{status.value} {status.phrase}" for status in HTTPStatus}
+"""As in profiles; also bounds how long a graceful stop may take."""
+MAX_NAME_LENGTH: Final = 64
+DEFAULT_TARGET_SECONDS: Final = 1.0
+"""Assumed time to answer a request whose route states no target, for `_check_time_left`."""
+STARTUP_WAIT_SECONDS: Final = 0.7
+"""Longest wait for the first configuration after a start: enough for an election and the transfer.
+Callers that abandon a connection do so after a second."""
+MAX_STARTUP_WAITERS: Final = 256
+"""Most requests that wait at once; an instance that has just started could serve few more."""
+STARTUP_POLL_SECONDS: Final = 0.02
+"""Longest delay until a waiting request sees the configuration; short beside a usual answer."""
+
+_NAME_PATTERN: Final = re.compile(rf"[A-Za-z0-9._:-]{{1,{MAX_NAME_LENGTH}}}")
+_STATUS_LINES: Final = {status.value: f"{status.value} {status.phrase}" for status in HTTPStatus}
 _BODY_CODES: Final = {
     BodyProblem.TOO_LARGE: AnswerCode.BODY_TOO_LARGE,
     BodyProblem.TOO_SLOW: AnswerCode.SLOW_REQUEST,
     BodyProblem.BROKEN_OFF: AnswerCode.BODY_INCOMPLETE,
 }
-_BODYLESS: Final = frozenset({204, 304})
+_BODYLESS_STATUSES: Final = frozenset({204, 304})
 
 _log = get_logger(__name__)
 
 
-class BadCall(Exception):  # noqa: N818
-    """A request that can't be taken, with its answer."""
+class RefusedCall(Exception):  # noqa: N818
+    """A request that is refused before it is forwarded, with its answer."""
 
     def __init__(self, answer: Answer) -> None:
         super().__init__(answer.code)
@@ -65,7 +65,7 @@
 
 
 class CallersApplication:
-    """Answers callers; one call of it for each request, in the connection's green thread."""
+    """Answers callers; called once for each request, in the connection's green thread."""
 
     def __init__(
         self,
@@ -82,28 +82,28 @@
         self._clock = clock
         self._body_seconds = body_seconds
         self._prefix = f"{instance_id}-{int(clock.wall().timestamp() * 1000):x}"
-        self._numbers = count(1)
-        self._starting = 0
+        self._sequence = count(1)
+        self._startup_waiters = 0
         self._lines = LineBudget(clock)
         self.stopping = False
         """Whether the health path answers 503."""
         self.cut_off_at: float | None = None
-        """When a stop cuts off what is still in flight; None where none does."""
+        """Monotonic time at which a stop cuts off the requests in flight; None if it doesn't."""
         self.count_connections: Callable[[], int] = int
-        """Returns the number of the callers' open connections."""
+        """Returns the number of open connections from callers."""
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request, as WSGI wants it."""
+        """Answer one request, by the WSGI protocol."""
         if environ["PATH_INFO"] == HEALTH_PATH:
             return self._answer_health(start_response)
         protocol: HttpProtocol = environ[ENVIRON_KEY]
         request_id = self._choose_request_id(environ)
         try:
             answer = self._answer(environ, request_id)
-        except BadCall as refused:
-            answer = refused.answer
+        except RefusedCall as refusal:
+            answer = refusal.answer
             if has_unread_body(environ["wsgi.input"]):
                 protocol.close_unread()
         except Exception:
@@ -116,14 +116,14 @@
         status = 200 if state == "ok" else 503
         body = f'{{"status": "{state}"}}\n'.encode()
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        start_response(_PHRASES[status], headers)
+        start_response(_STATUS_LINES[status], headers)
         return [body]
 
     def _choose_request_id(self, environ: dict[str, Any]) -> RequestId:
         given = environ.get(self._request_id)
-        if given is not None and _NAME.fullmatch(given):
+        if given is not None and _NAME_PATTERN.fullmatch(given):
             return RequestId(given)
-        return RequestId(f"{self._prefix}-{next(self._numbers):x}")
+        return RequestId(f"{self._prefix}-{next(self._sequence):x}")
 
     def _answer(self, environ: dict[str, Any], request_id: RequestId) -> Answer:
         arrived = self._clock.monotonic()
@@ -135,7 +135,7 @@
         if routed is None:
             answer = self._make_unrouted(host, path, request_id)
             self._log_denial("request-unrouted", host, path, request_id, answer)
-            raise BadCall(answer)
+            raise RefusedCall(answer)
         identity = self._identify(environ["headers_raw"], host, path, routed.rule, request_id)
         live = routed.live
         query = environ.get("QUERY_STRING", "")
@@ -168,7 +168,10 @@
         rule: RouteRule | None,
         request_id: RequestId,
     ) -> Identity | None:
-        """Return whose request it is; None where requests carry no API keys."""
+        """Return the identity behind the API key; None where requests carry no API keys.
+
+        Raises RefusedCall where the key is missing or unknown.
+        """
         book = self._entry.organisations
         if book is None:
             return None
@@ -178,7 +181,7 @@
             return identity
         answer = self._make_unidentified(request_id)
         self._log_denial("request-unidentified", host, path, request_id, answer)
-        raise BadCall(answer)
+        raise RefusedCall(answer)
 
     def _make_unidentified(self, request_id: RequestId) -> Answer:
         if not self._entry.may_deny():
@@ -190,43 +193,45 @@
     def _find_caller(
         self, environ: dict[str, Any], identity: Identity | None, request_id: RequestId
     ) -> CallerId:
-        """Return the organisation by its API key, or else as the caller names it."""
+        """Return the API key's organisation, or without API keys the caller that a header names."""
         if identity is None:
             return CallerId(read_name(environ, self._dialect.caller, request_id))
         return CallerId(UNNAMED) if identity.organisation is None else identity.organisation.name
 
     def _check_time_left(self, call: Call, live: LiveService) -> None:
-        """Refuse what a stop would probably cut off: another instance can serve it."""
+        """Refuse a request that a stop would probably cut off; another instance can serve it."""
         if self.cut_off_at is None:
             return
-        usual = UNTARGETED_SECONDS if call.rule is None else call.rule.target_ms / 1000.0
-        needed = min(usual, call.find_allowed_ms(live.profile) / 1000.0)
-        if self._clock.monotonic() + needed > self.cut_off_at:
+        target_seconds = (
+            DEFAULT_TARGET_SECONDS if call.rule is None else call.rule.target_ms / 1000.0
+        )
+        needed_seconds = min(target_seconds, call.find_allowed_ms(live.profile) / 1000.0)
+        if self._clock.monotonic() + needed_seconds > self.cut_off_at:
             message = "this instance stops before the request could be answered"
-            raise BadCall(make_error(AnswerCode.STOPPING, message, call.request_id))
+            raise RefusedCall(make_error(AnswerCode.STOPPING, message, call.request_id))
 
     def _wait_for_configuration(self) -> None:
-        """Give an instance that has just started a moment to get its configuration.
+        """Wait a short time for the first configuration after a start.
 
-        The load it is for: all instances were killed at once, and callers come back before the
-        keepers have elected a leader. The harm: refused at once, each of them is lost to a start
-        that is over a moment later. The wait is short beside the shortest usual deadline, and
-        bounded in number, so that nobody waits for an instance that stays without.
+        Guards against refusing callers that return, after all instances were killed at once, before
+        the keepers have elected a leader: the configuration arrives a moment later. The wait is
+        short beside the shortest usual deadline, and few requests wait at once, so that an instance
+        that gets no configuration does not hold up its callers.
         """
-        if self._starting >= STARTING_REQUESTS:
+        if self._startup_waiters >= MAX_STARTUP_WAITERS:
             return
-        self._starting += 1
+        self._startup_waiters += 1
         try:
-            until = self._clock.monotonic() + STARTING_SECONDS
-            while not self._entry.is_ready() and self._clock.monotonic() < until:
-                sleep(STARTING_POLL_SECONDS)
+            deadline = self._clock.monotonic() + STARTUP_WAIT_SECONDS
+            while not self._entry.is_ready() and self._clock.monotonic() < deadline:
+                sleep(STARTUP_POLL_SECONDS)
         finally:
-            self._starting -= 1
+            self._startup_waiters -= 1
 
     def _find_class(
         self, environ: dict[str, Any], routed: RoutedService, request_id: RequestId
     ) -> str:
-        """Return the class that the caller names, or else the route, whose requests are alike."""
+        """Return the class that the caller names, else the route: its requests are alike."""
         named = read_name(environ, self._dialect.request_class, request_id)
         if named is UNNAMED and routed.rule is not None:
             return routed.rule.name
@@ -259,88 +264,95 @@
     def _read_body(
         self, environ: dict[str, Any], live: LiveService, request_id: RequestId
     ) -> bytes:
-        """Read the whole body: only a request that arrived whole is ever dispatched."""
+        """Read the whole body; a request that has not arrived whole is never dispatched."""
         try:
             return read_body(environ["wsgi.input"], live.profile.max_body_bytes, self._body_seconds)
         except BodyError as error:
             code = _BODY_CODES[error.problem]
-            raise BadCall(make_error(code, str(error), request_id)) from error
+            raise RefusedCall(make_error(code, str(error), request_id)) from error
 
 
 def refuse_as_outdated(request_id: RequestId) -> Answer:
-    """Refuse, without denying it, what a change that hasn't arrived here may have brought."""
+    """Refuse a request whose route or API key may have been added by a change not yet seen here.
+
+    The answer is 503 and not a denial, which might be wrong.
+    """
     message = "this instance can't tell whether its configuration is the latest"
     return make_error(AnswerCode.NO_CONFIGURATION, message, request_id)
 
 
 @lru_cache
 def find_environ_key(header: str) -> str:
-    """Return the name under which WSGI keeps a header."""
+    """Return the WSGI environment key of a header."""
     return "HTTP_" + header.upper().replace("-", "_")
 
 
 def has_unread_body(source: Any) -> bool:
-    """Tell whether a part of the request's body may still come."""
+    """Return whether a part of the request's body may still be unread."""
     return bool(source.chunked_input or source.position < (source.content_length or 0))
 
 
 def read_path(environ: dict[str, Any], request_id: RequestId) -> str:
     """Return the decoded path for matching.
 
-    Path prefixes of a profile say what is idempotent, so a path that a backend server may read as
-    another one (dot segments, doubled slashes) must not slip past them.
+    A profile's path prefixes define which requests are idempotent, so a path that a backend server
+    may read as another one (dot segments, doubled slashes) must not evade them: doubled slashes are
+    merged, and dot segments are refused.
     """
     path = unquote(environ["RAW_PATH_INFO"], errors="replace")
     if not path.startswith("/"):
         message = "the request target must be a path"
-        raise BadCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
+        raise RefusedCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
     while "//" in path:
         path = path.replace("//", "/")
     if "/." in path and any(part in (".", "..") for part in path.split("/")):
         message = "the path must not have . or .. segments"
-        raise BadCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
+        raise RefusedCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
     return path
 
 
 def read_name(environ: dict[str, Any], header: str, request_id: RequestId) -> str:
-    """Return the caller or class that a header names; refuse one that is no plain name."""
+    """Return the caller or class that a header names; raise RefusedCall for an invalid name."""
     value: str | None = environ.get(find_environ_key(header))
     if value is None:
         return UNNAMED
-    if _NAME.fullmatch(value):
+    if _NAME_PATTERN.fullmatch(value):
         return value
-    message = f"{header} must have 1 to {LONGEST_NAME} letters, digits or ._:-"
-    raise BadCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
+    message = f"{header} must have 1 to {MAX_NAME_LENGTH} letters, digits or ._:-"
+    raise RefusedCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
 
 
 def read_deadline(environ: dict[str, Any], header: str, request_id: RequestId) -> int | None:
-    """Return the milliseconds that the caller gives, or None where it gives none."""
+    """Return the caller's deadline in milliseconds, or None where it gives none.
+
+    Raises RefusedCall for a value that is not within 1 to LONGEST_DEADLINE_MS.
+    """
     value = environ.get(find_environ_key(header))
     if value is None:
         return None
     if value.isascii() and value.isdigit() and 0 < int(value[:9]) <= LONGEST_DEADLINE_MS:
         return int(value)
     message = f"{header} must be 1 to {LONGEST_DEADLINE_MS} milliseconds, not {value[:32]!r}"
-    raise BadCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
+    raise RefusedCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
 
 
 def write_answer(
     answer: Answer, method: str, protocol: HttpProtocol, start_response: Callable[..., Any]
 ) -> Iterable[bytes]:
-    """Begin the answer and return its body, as WSGI wants it."""
+    """Begin the answer and return its body, by the WSGI protocol."""
     headers = list(answer.headers)
-    bodyless = method == "HEAD" or answer.status in _BODYLESS
+    bodyless = method == "HEAD" or answer.status in _BODYLESS_STATUSES
     if answer.stream is None and not bodyless:
         headers = [pair for pair in headers if pair[0].lower() != "content-length"]
         headers.append(("Content-Length", str(len(answer.body))))
-    start_response(_PHRASES.get(answer.status, f"{answer.status} Unknown"), headers)
+    start_response(_STATUS_LINES.get(answer.status, f"{answer.status} Unknown"), headers)
     if answer.stream is None:
         return [b"" if bodyless else answer.body]
     return StreamedBody(answer.body, answer.stream, protocol)
 
 
 class StreamedBody:
-    """A long answer on its way; cut off with a reset where the backend server cuts it off."""
+    """The body of a long answer; the connection is reset if the backend server's answer breaks."""
 
     def __init__(self, first: bytes, rest: Iterator[bytes], protocol: HttpProtocol) -> None:
         self._first = first
@@ -356,7 +368,7 @@
             raise
 
     def close(self) -> None:
-        """Release the backend server's connection, whether or not the end was reached."""
+        """Release the backend server's connection, whether or not the whole body was read."""
         close = getattr(self._rest, "close", None)
         if close is not None:
             close()
--- a/packages/node/src/persimmonusher_node/calls.py
+++ b/packages/node/src/persimmonusher_node/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as the callers' listener read it, whole."""
+"""A caller's request, read whole by the listener for callers."""
 
 from dataclasses import dataclass, field
 
@@ -29,39 +29,42 @@
     key: str | None
     body: bytes = b""
     reader: CallerReader | None = field(default=None, compare=False)
-    """The caller's connection, to see when the caller leaves."""
+    """The caller's connection, to detect that the caller has left."""
 
     rule: RouteRule | None = None
-    """What the routing document asks for the request, where its route stands there."""
+    """The rule of the request's route, if the routing document has it."""
 
     identity: Identity | None = None
-    """Whose request it is; None where requests carry no API keys."""
+    """The identity behind the API key; None where requests carry no API keys."""
 
     @property
     def organisation(self) -> Organisation | None:
-        """Return the organisation whose request it is, where one is known."""
+        """Return the organisation that the request belongs to, if known."""
         return None if self.identity is None else self.identity.organisation
 
     def find_priority(self) -> int:
-        """Return the rank, 0 the most urgent: the organisation's or else the route's."""
+        """Return the priority of the organisation, else of the route; 0 is the most urgent."""
         organisation = self.organisation
         if organisation is not None and organisation.priority is not None:
             return organisation.priority
         return 0 if self.rule is None else self.rule.priority
 
     def is_idempotent(self, profile: Profile) -> bool:
-        """Tell whether the request may be sent again: its route says so, else its profile."""
+        """Return whether the request may be sent again, by its route's rule or else its profile."""
         if self.rule is not None:
             return self.rule.idempotent
         return profile.is_idempotent(self.method, self.path)
 
     def find_allowed_ms(self, profile: Profile) -> int:
-        """Return the time for the whole answer: the caller's, and at most the route's."""
+        """Return the time for the whole answer: the caller's, else the route's or profile's.
+
+        A route's timeout also bounds the caller's deadline.
+        """
         longest = profile.deadline_ms if self.rule is None else self.rule.timeout_ms
         if self.deadline_ms is None:
             return longest
         return self.deadline_ms if self.rule is None else min(longest, self.deadline_ms)
 
     def has_caller_left(self) -> bool:
-        """Tell, without waiting, whether the caller has closed its connection."""
+        """Return, without waiting, whether the caller has closed its connection."""
         return self.reader is not None and self.reader.has_caller_left()
--- a/packages/node/src/persimmonusher_node/connection_filter.py
+++ b/packages/node/src/persimmonusher_node/connection_filter.py
@@ -1,4 +1,4 @@
-"""Lets a listening socket take no new connections while it still completes those under way."""
+"""Makes a listening socket ignore new connections while pending handshakes still complete."""
 
 import ctypes
 import socket
@@ -8,9 +8,9 @@
 from structlog import get_logger
 
 SO_ATTACH_FILTER: Final = 26
-"""Linux's socket option for a classic BPF program; Python's socket module has no name for it."""
+"""Linux's socket option for a classic BPF program; Python's socket module lacks it."""
 FLAGS_OFFSET: Final = 13
-"""Byte of the TCP header that holds its flags; filters of TCP sockets see that header first."""
+"""Offset of the flags byte in the TCP header, where a TCP socket filter's data begins."""
 SYN: Final = 0x02
 LOAD_BYTE: Final = 0x30
 JUMP_IF_SET: Final = 0x45
@@ -22,17 +22,19 @@
     (RETURN, 0, 0, 0),
     (RETURN, 0, 0, WHOLE_PACKET),
 )
-"""Operation, jump if true, jump if false, operand: a packet that opens a connection is dropped."""
+"""BPF program that drops packets with SYN; fields: operation, jump if true, jump if false,
+operand."""
 
 _log = get_logger(__name__)
 
 
 def drop_new_connections(listening: socket.socket) -> bool:
-    """Drop the packets that would open a connection; tell whether the kernel does.
+    """Drop the packets that would open a connection; return whether the kernel accepts the filter.
 
     Guards against a caller that connects between the last accept and the close of the socket: the
-    close would reset it, with a request that it may have sent. A dropped packet is sent again about
-    a second later, and meets a closed port, which says plainly that nothing was taken.
+    close would reset the connection, and lose a request that the caller may have sent. A dropped
+    packet is sent again about a second later and is refused by the closed port, which shows the
+    caller that nothing was received.
     """
     code = b"".join(struct.pack("=HBBI", *instruction) for instruction in DROP_SYN)
     buffer = ctypes.create_string_buffer(code)
--- a/packages/node/src/persimmonusher_node/connections.py
+++ b/packages/node/src/persimmonusher_node/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers, by urllib3."""
+"""Pooled connections to backend servers, built on urllib3."""
 
 import io
 import socket
@@ -12,61 +12,63 @@
 from persimmonusher_model.clock import Clock
 from persimmonusher_node.sockets import Pending, peek
 
-CONNECT_SECONDS: Final = 0.25
-"""Longer than any way between regions takes. A longer wait means that its first packet was lost,
-which is sent again only after a second, or a host that is gone; and what has waited for one server
-for much longer has its answer from the next one late."""
-IDLE_SECONDS: Final = 4.0
-"""Backend servers must keep an idle connection for longer (interfaces page: at least 5 s)."""
-FRESH_SECONDS: Final = 1.0
-"""The longest idle time of a connection that may carry a non-idempotent request."""
-IDLE_CONNECTIONS: Final = 32
-"""Kept to one backend server; more would hold connections that other entries need."""
-FORGET_SECONDS: Final = 700.0
-"""Beyond the longest deadline: no attempt from before is still in flight."""
+CONNECT_TIMEOUT_SECONDS: Final = 0.25
+"""Longer than opening a connection between regions takes. One that takes longer has lost its first
+packet, which is resent only after a second, or its host is gone; waiting much longer would make the
+answer from the next server late."""
+IDLE_TIMEOUT_SECONDS: Final = 4.0
+"""Backend servers must keep an idle connection open for longer (interfaces page: at least 5 s)."""
+NON_IDEMPOTENT_IDLE_SECONDS: Final = 1.0
+"""Longest idle time of a connection that may still carry a non-idempotent request."""
+MAX_IDLE_CONNECTIONS: Final = 32
+"""Per backend server; more would occupy connections that other entries need."""
+POOL_RETENTION_SECONDS: Final = 700.0
+"""Longer than the longest deadline, so that no attempt that uses the pool is still in flight."""
 
 
 class ResetAwareReader(io.RawIOBase):
-    """Reads from the socket below eventlet's, which takes a reset for an end in good order.
+    """Reads from the socket below eventlet's, which reports a reset as a normal end of stream.
 
-    Guards against an answer that ends with its connection, from a server that crashes in the middle
-    of it: the reset alone tells it from a whole one.
+    Guards against a server that crashes in the middle of an answer that ends with its connection:
+    only the reset shows that such an answer is not whole.
     """
 
     def __init__(self, connection: Any, owner: io.RawIOBase) -> None:
-        self._below: socket.socket = connection.fd
+        self._raw_socket: socket.socket = connection.fd
         self._timeout: float | None = connection.gettimeout()
         self._owner = owner
-        """The file object that keeps the socket open until it is closed itself."""
+        """The file object that keeps the socket open until it is closed."""
 
     def readable(self) -> bool:
-        """Tell that this can be read."""
+        """Return True; io.RawIOBase's default is False."""
         return True
 
     def readinto(self, buffer: Any, /) -> int:
-        """Read what is there, waiting for the first byte; raise OSError for a reset."""
+        """Read the available bytes, waiting for the first one; raise OSError on a reset."""
         while True:
             try:
-                return self._below.recv_into(buffer)
+                return self._raw_socket.recv_into(buffer)
             except BlockingIOError:
-                trampoline(self._below, read=True, timeout=self._timeout, timeout_exc=TimeoutError)
+                trampoline(
+                    self._raw_socket, read=True, timeout=self._timeout, timeout_exc=TimeoutError
+                )
 
     def close(self) -> None:
-        """Close the file object that this reads for."""
+        """Close the owning file object too."""
         if not self.closed:
             self._owner.close()
         super().close()
 
 
 class WholeLineReader(io.BufferedReader):
-    """Reads lines that are whole, or fails.
+    """Reads only complete lines, and fails on a partial one.
 
-    http.client takes the end of the connection for the end of the headers, and a cut-off chunk size
-    for a shorter one: an answer cut there would pass for whole, without its last headers.
+    http.client treats the end of the connection as the end of the headers, and a cut-off chunk size
+    as a shorter one: an answer cut there would look whole, without its last headers.
     """
 
     def readline(self, size: int | None = -1, /) -> bytes:
-        """Return a line with its end; raise IncompleteRead where the connection ended first."""
+        """Return a line with its line end; raise IncompleteRead if the connection ends first."""
         line = super().readline(size)
         if not line.endswith(b"\n"):
             raise IncompleteRead(line)
@@ -74,7 +76,7 @@
 
 
 class WholeResponse(HTTPResponse):
-    """An answer that is read by whole lines, and that fails where the connection is reset."""
+    """An answer whose reading fails on a partial line or a reset of the connection."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
@@ -83,30 +85,30 @@
 
 
 class ServerConnection(HTTPConnection):
-    """A connection that can tell, without waiting, whether the server closed or spoke first."""
+    """A connection that can be checked, without waiting, for a close or unexpected bytes."""
 
     response_class = WholeResponse
     idle_since: float = 0.0
-    byte_left: bool = False
-    """Whether a byte of the current request may have left."""
+    may_have_sent: bool = False
+    """Whether a byte of the current request may have been sent."""
 
     def send(self, data: Any) -> None:
-        """Write to the socket, noting first that a byte may leave."""
-        self.byte_left = True
+        """Write to the socket; sets `may_have_sent` first."""
+        self.may_have_sent = True
         super().send(data)
 
-    def is_silent(self) -> bool:
-        """Tell whether nothing waits to be read.
+    def has_no_pending_data(self) -> bool:
+        """Return whether the connection is open and has nothing to be read.
 
-        Guards against a kept connection that the server has closed, or on which a late or
-        doubled answer has arrived: either is readable before a request was written, and the next
-        request would be lost on the first and given the wrong answer on the second.
+        Guards against reusing a connection that the server has closed, where the next request would
+        be lost, or on which a late or duplicate answer has arrived, which the next request would be
+        given as its own. Either makes the socket readable before a request is written.
         """
         return peek(self.sock) is Pending.NOTHING
 
 
 class ServerPool:
-    """The kept connections to one backend server's address, newest first."""
+    """The idle connections to one backend server's address; the newest is used first."""
 
     def __init__(self, address: str, clock: Clock) -> None:
         host, _, port = address.rpartition(":")
@@ -116,45 +118,48 @@
         self._idle: deque[ServerConnection] = deque()
         self.used = clock.monotonic()
 
-    def take(self, idempotent: bool) -> ServerConnection | None:
-        """Return a kept connection that is fit for the request, or None."""
-        limit = IDLE_SECONDS if idempotent else FRESH_SECONDS
-        oldest = self._clock.monotonic() - limit
+    def acquire(self, idempotent: bool) -> ServerConnection | None:
+        """Return an idle connection that is safe for the request, or None."""
+        max_idle_seconds = IDLE_TIMEOUT_SECONDS if idempotent else NON_IDEMPOTENT_IDLE_SECONDS
+        oldest = self._clock.monotonic() - max_idle_seconds
         while self._idle:
             connection = self._idle.pop()
-            if connection.idle_since >= oldest and connection.is_silent():
+            if connection.idle_since >= oldest and connection.has_no_pending_data():
                 return connection
             connection.close()
         return None
 
     def connect(self, timeout: float) -> ServerConnection:
-        """Open a connection; raise urllib3's HTTPError when that fails."""
-        connection = ServerConnection(self._host, self._port, timeout=min(timeout, CONNECT_SECONDS))
+        """Open a connection; raise urllib3's HTTPError if that fails."""
+        connection = ServerConnection(
+            self._host, self._port, timeout=min(timeout, CONNECT_TIMEOUT_SECONDS)
+        )
         connection.connect()
         return connection
 
-    def give_back(self, connection: ServerConnection) -> None:
-        """Keep a connection whose last answer was read to its end."""
-        if len(self._idle) >= IDLE_CONNECTIONS:
+    def release(self, connection: ServerConnection) -> None:
+        """Return a connection to the pool; its last answer must have been read to its end."""
+        if len(self._idle) >= MAX_IDLE_CONNECTIONS:
             connection.close()
             return
         connection.idle_since = self._clock.monotonic()
         self._idle.append(connection)
 
-    def is_forgotten(self) -> bool:
-        """Tell whether no connection is kept and none can still be in use.
+    def is_unused(self) -> bool:
+        """Return whether no connection is pooled and none can still be in use.
 
-        A pool dropped while its only connection is in use would take that back and never close it.
+        If a pool were dropped while its only connection is in use, that connection would be
+        released to the dropped pool and never closed.
         """
-        return not self._idle and self._clock.monotonic() - self.used > FORGET_SECONDS
+        return not self._idle and self._clock.monotonic() - self.used > POOL_RETENTION_SECONDS
 
     def expire(self) -> None:
-        """Close the connections that were idle for too long."""
-        oldest = self._clock.monotonic() - IDLE_SECONDS
+        """Close the connections that have been idle for too long."""
+        oldest = self._clock.monotonic() - IDLE_TIMEOUT_SECONDS
         while self._idle and self._idle[0].idle_since < oldest:
             self._idle.popleft().close()
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all pooled connections."""
         while self._idle:
             self._idle.pop().close()
--- a/packages/node/src/persimmonusher_node/data_plane.py
+++ b/packages/node/src/persimmonusher_node/data_plane.py
@@ -23,7 +23,7 @@
 
 
 class DataPlane:
-    """Composes forwarding, its clockwork, records and metrics."""
+    """Composes forwarding, its periodic checks, the request records and the metrics."""
 
     def __init__(
         self,
@@ -66,29 +66,29 @@
         self.watch = Watch(self.services, self.forwarder, upstream, clock)
 
     def explain(self, request_id: RequestId) -> RequestRecord | None:
-        """Return what this instance decided for a request lately, or None."""
+        """Return the record of a recent request at this instance, or None."""
         return self.records.explain(request_id)
 
     def note_draining(self, server: BackendServer) -> None:
-        """Tell the directory that a server's answer said that it is leaving.
+        """Announce to the directory a server whose answer said that it is leaving.
 
-        The server is already left out here; its own announcement may be on its way by another
-        entry, and carries the same or a later sequence number.
+        This instance's traffic excludes the server already. Its own announcement may be arriving
+        through another entry; that one has the same or a later sequence number.
         """
         draining = replace(server, sequence=server.sequence + 1, state=ServerState.DRAINING)
         self._parts.directory.announce(draining)
 
     def read_gauges(self) -> InstanceGauges:
-        """Return what is measured at the moment of a scrape."""
+        """Return the current values of the gauges, for a scrape."""
         now = self._clock.monotonic()
         taking = {}
-        left_out = {}
+        excluded = {}
         limited = {}
         resting = {}
         for live in self.services:
             statuses = live.traffic.describe(now)
             taking[live.name] = sum(status.taking_work for status in statuses)
-            left_out[live.name] = len(statuses) - taking[live.name]
+            excluded[live.name] = len(statuses) - taking[live.name]
             limited[live.name] = sum(status.rate_limit is not None for status in statuses)
             resting[live.name] = sum(status.rest_seconds > 0.0 for status in statuses)
         freshness = self.services.find_freshness()
@@ -98,7 +98,7 @@
             self.services.revision(),
             len(self._parts.membership.list_live()),
             taking,
-            left_out,
+            excluded,
             0.0 if freshness is None else bound_age(freshness.age),
             limited,
             resting,
--- a/packages/node/src/persimmonusher_node/dialect.py
+++ b/packages/node/src/persimmonusher_node/dialect.py
@@ -1,4 +1,4 @@
-"""The header names and habits of callers and backend servers, where they differ from our own."""
+"""The header names and conventions of callers and backend servers; each has a default."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Dialect:
-    """Names of the headers that carry what the data plane reads and writes."""
+    """Names of the headers that the data plane reads and writes, and conventions about them."""
 
     request_id: str = REQUEST_ID
     deadline: str = DEADLINE
@@ -30,21 +30,22 @@
     rate_limit: str = RATE_LIMIT
     leaving: str = LEAVING
     expected_server: str | None = None
-    """Names the server that a request is for; another one at its address answers 421."""
+    """Header that names the server a request is for; another server at its address answers 421."""
     signature: str | None = None
-    """On every success of a server; one without it is not the server's answer."""
+    """Header on every success of a server; a success without it is not the server's answer."""
     accepts_unframed: bool = False
-    """Whether servers send answers that end with their connection. A reset still shows that such
-    an answer was cut off; a server that dies between two writes doesn't show."""
+    """Whether servers may send answers that end with their connection. A reset still shows that
+    such an answer was cut off, but a server that dies between two writes can't be detected."""
     refuses_encoded: bool = False
-    """Whether an answer in a content coding, which callers never ask for, is a garbled one."""
+    """Whether an answer with a content coding, which callers never ask for, is refused as bad."""
     retry_after_decimals: int = 0
-    """Decimal places of Retry-After that callers read; the standard knows whole seconds only."""
+    """Decimal places of Retry-After that callers read; the standard has whole seconds only."""
     credentials: str = "Authorization"
-    """Carries the caller's API key, behind the name of a scheme; never passed on."""
+    """Header with the caller's API key, after the name of a scheme; never passed on."""
     credentials_scheme: str = "Bearer"
     organisation: str = CALLER
-    """Tells the backend server whose request it is; what a caller sends under it is dropped."""
+    """Header that names the request's organisation to the backend server; a caller's own value is
+    dropped."""
 
 
 OWN_DIALECT: Final = Dialect()
--- a/packages/node/src/persimmonusher_node/evidence.py
+++ b/packages/node/src/persimmonusher_node/evidence.py
@@ -1,9 +1,9 @@
 """The exchange of evidence and verdicts between this instance and the services' assessors.
 
-The load it is for: every instance reports each service it has traffic for about once a second, and
-at once when something fails. The service's assessor is the live instance that rendezvous hashing
-puts first; the second, in another failure domain, is its deputy and is asked when the first doesn't
-answer. Verdicts come back as leases, so that what a cut-off assessor said ends by itself.
+Every instance reports each service that it has traffic for about once a second, and at once when
+something fails. The service's assessor is the live instance that rendezvous hashing ranks first;
+the second, in another failure domain, is its deputy and is asked when the first doesn't answer.
+Verdicts are leases, so that those of an assessor that is cut off expire.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from persimmonusher_model.identifiers import FailureDomain, InstanceId, ServiceName
 from persimmonusher_node import evidence_wire as wire
 from persimmonusher_node.assessor_choice import AssessorChoice
-from persimmonusher_node.assessors import ASSESS_SECONDS, AssessorBook
+from persimmonusher_node.assessors import ASSESSMENT_INTERVAL_SECONDS, AssessorBook
 from persimmonusher_node.component import Component
 from persimmonusher_node.loop import run_coroutine, start_coroutine
 from persimmonusher_node.peers import ChannelPool
@@ -28,22 +28,23 @@
 from persimmonusher_protocol import evidence_pb2 as pb
 from persimmonusher_protocol.evidence_grpc import EvidenceBase, EvidenceStub
 
-TICK_SECONDS: Final = 0.05
-"""Period in which digests are looked for: a twentieth of the detection time aimed at."""
-ASK_SECONDS: Final = 1.0
-"""An instance with nothing to report asks this often: a third of a lease, so that two questions
-may be lost before an ejection lapses."""
+REPORT_TICK_SECONDS: Final = 0.05
+"""Interval at which each service is checked for a digest to report: a twentieth of the targeted
+detection time."""
+VERDICT_POLL_SECONDS: Final = 1.0
+"""Interval at which an instance without evidence asks for the verdict: a third of a lease, so that
+two requests may be lost before an ejection lapses."""
 CALL_TIMEOUT_SECONDS: Final = 0.25
-"""Wait for an assessor before its deputy is asked."""
-AVOID_SECONDS: Final = 2.0
-"""An assessor that didn't answer isn't asked for so long; membership declares it dead by then, or
-it is well again."""
+"""Time-out of a call to an assessor; after it the deputy is asked."""
+ASSESSOR_AVOID_SECONDS: Final = 2.0
+"""An assessor that didn't answer is asked after its deputy for this long; by then membership has
+declared it dead, or it has recovered."""
 
 _CALL_FAILURES: Final = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
 
 
 class EvidenceExchange(Component):
-    """Reports this instance's evidence, applies verdicts, and assesses for others."""
+    """Reports this instance's evidence, applies verdicts and assesses services for others."""
 
     def __init__(
         self,
@@ -66,7 +67,7 @@
         self._clock = clock
         self.assessors = AssessorBook(instance_id, epoch, view, directory, clock, self._send_hints)
         self._choice = AssessorChoice()
-        self._asked: dict[ServiceName, float] = {}
+        self._last_asked: dict[ServiceName, float] = {}
         self._avoided: dict[InstanceId, float] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         services.open_with(self.open_service)
@@ -81,20 +82,20 @@
         self._spawn(self._run_assessors())
 
     def stop(self) -> None:
-        """End all calls; the leases held elsewhere lapse."""
+        """Cancel all calls; the leases that other instances hold lapse."""
         for task in list(self._tasks):
             task.cancel()
 
     def open_service(self, live: LiveService) -> None:
-        """Learn the verdict on a service before its first request here; waits 0.5 s at most.
+        """Fetch the verdict on a service before its first request here; waits 0.5 s at most.
 
-        Failure: a request that crashes the servers which run it was quarantined, and a gray server
-        ejected, while this instance had no traffic for the service and so never asked. The
-        caller's next resend through this instance would cost one more server. An assessor and a
-        deputy that both don't answer are not waited for longer: detection here goes on alone.
+        While this instance had no traffic for the service it never asked, so it does not know that
+        a request that crashes servers is quarantined, or that a gray server is ejected. Without
+        this, a resend of that request through this instance would crash one more server. If neither
+        the assessor nor its deputy answers, this instance starts with its own detection only.
         """
-        self._asked[live.name] = self._clock.monotonic()
-        run_coroutine(self._ask(live, None))
+        self._last_asked[live.name] = self._clock.monotonic()
+        run_coroutine(self._request_verdict(live, None))
 
     def answer(
         self,
@@ -103,40 +104,43 @@
         domain: FailureDomain,
         digest: EvidenceDigest | None,
     ) -> EjectionSet | None:
-        """Take a report as the assessor."""
+        """Process a report as the service's assessor; return the verdict, None where unknown."""
         return self.assessors.receive(service, reporter, domain, digest)
 
-    def hear_hint(self, service: ServiceName) -> None:
-        """Ask for a verdict that changed at once, and not with the next report."""
-        self._asked.pop(service, None)
+    def handle_hint(self, service: ServiceName) -> None:
+        """Report at once, without waiting for the next tick, to get a changed verdict."""
+        self._last_asked.pop(service, None)
         for live in self._services:
             if live.name == service:
                 self._report(live, self._clock.monotonic())
 
     def list_assessors(self, service: ServiceName) -> tuple[InstanceId, ...]:
-        """List the service's assessor and its deputy, the one to ask first in front."""
+        """List the service's assessor and its deputy, in the order in which they are asked."""
         return tuple(name for name, _ in self._choose_assessors(service))
 
     async def _run_reports(self) -> None:
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(REPORT_TICK_SECONDS)
             now = self._clock.monotonic()
             for live in self._services:
                 self._report(live, now)
 
     async def _run_assessors(self) -> None:
         while True:
-            await asyncio.sleep(ASSESS_SECONDS)
+            await asyncio.sleep(ASSESSMENT_INTERVAL_SECONDS)
             self.assessors.assess()
 
     def _report(self, live: LiveService, now: float) -> None:
         digest = live.traffic.digest(now)
-        if digest is None and now - self._asked.get(live.name, -ASK_SECONDS) < ASK_SECONDS:
+        if (
+            digest is None
+            and now - self._last_asked.get(live.name, -VERDICT_POLL_SECONDS) < VERDICT_POLL_SECONDS
+        ):
             return
-        self._asked[live.name] = now
-        self._spawn(self._ask(live, digest))
+        self._last_asked[live.name] = now
+        self._spawn(self._request_verdict(live, digest))
 
-    async def _ask(self, live: LiveService, digest: EvidenceDigest | None) -> None:
+    async def _request_verdict(self, live: LiveService, digest: EvidenceDigest | None) -> None:
         for assessor, address in self._choose_assessors(live.name):
             asked = self._clock.monotonic()
             if assessor == self._instance_id:
@@ -167,14 +171,14 @@
         try:
             message = await stub.Report(request, timeout=CALL_TIMEOUT_SECONDS)
         except _CALL_FAILURES:
-            self._avoided[assessor] = self._clock.monotonic() + AVOID_SECONDS
+            self._avoided[assessor] = self._clock.monotonic() + ASSESSOR_AVOID_SECONDS
             return None
         return wire.read_set(message) if message.assessor_id else None
 
     def _choose_assessors(self, service: ServiceName) -> list[tuple[InstanceId, str]]:
         chosen = self._choice.find(service, self._membership.list_live())
         now = self._clock.monotonic()
-        # An avoided assessor goes last, not out: if both fail, one of them is still asked.
+        # An avoided assessor is put last, not removed: if both are avoided, both are still asked.
         chosen.sort(key=lambda one: self._avoided.get(one.instance_id, 0.0) > now)
         return [(one.instance_id, one.peer_address) for one in chosen]
 
@@ -182,7 +186,7 @@
         addresses = {one.instance_id: one.peer_address for one in self._membership.list_live()}
         for reporter in reporters:
             if reporter == self._instance_id:
-                self.hear_hint(service)
+                self.handle_hint(service)
             elif reporter in addresses:
                 self._spawn(self._send_hint(addresses[reporter], service))
 
@@ -191,11 +195,11 @@
         try:
             await stub.Hint(pb.ChangedHint(service=service), timeout=CALL_TIMEOUT_SECONDS)
         except _CALL_FAILURES:
-            # The instance asks by itself within a second.
+            # The instance asks again within a second anyway.
             return
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        # The loop holds tasks weakly: one that nobody holds may be collected before it ends.
+        # The loop has only weak references to tasks: an unreferenced one may be collected early.
         task = start_coroutine(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -208,7 +212,7 @@
         self._exchange = exchange
 
     async def Report(self, stream: Stream[pb.ReportRequest, pb.EjectionSet]) -> None:  # noqa: N802
-        """Take a digest or a question; an empty answer says that the service is unknown here."""
+        """Answer a digest or a verdict request; an empty answer means an unknown service."""
         message = await stream.recv_message()
         assert message is not None
         digest = wire.read_digest(message) if message.sequence else None
@@ -219,8 +223,8 @@
         await stream.send_message(wire.write_set(verdict) if verdict else pb.EjectionSet())
 
     async def Hint(self, stream: Stream[pb.ChangedHint, pb.HintDone]) -> None:  # noqa: N802
-        """Ask for the changed verdict."""
+        """Answer a hint that the verdict on a service has changed, and request that verdict."""
         message = await stream.recv_message()
         assert message is not None
-        self._exchange.hear_hint(ServiceName(message.service))
+        self._exchange.handle_hint(ServiceName(message.service))
         await stream.send_message(pb.HintDone())
--- a/packages/node/src/persimmonusher_node/evidence_wire.py
+++ b/packages/node/src/persimmonusher_node/evidence_wire.py
@@ -1,4 +1,4 @@
-"""Evidence between its protobuf messages and the decisions' typed ones."""
+"""Conversion of evidence between its protobuf messages and the decisions' typed messages."""
 
 from typing import Final
 
@@ -28,7 +28,7 @@
 
 
 def write_digest(digest: EvidenceDigest) -> pb.ReportRequest:
-    """Make the message of a digest."""
+    """Return the protobuf message for a digest."""
     return pb.ReportRequest(
         service=digest.service,
         instance_id=digest.instance_id,
@@ -41,7 +41,7 @@
 
 
 def read_digest(message: pb.ReportRequest) -> EvidenceDigest:
-    """Read a digest; strikes of a later version are passed over."""
+    """Return the digest in a message; ignores strikes of kinds that only later versions know."""
     return EvidenceDigest(
         service=ServiceName(message.service),
         instance_id=InstanceId(message.instance_id),
@@ -56,7 +56,7 @@
 
 
 def write_set(ejections: EjectionSet) -> pb.EjectionSet:
-    """Make the message of a verdict."""
+    """Return the protobuf message for a verdict."""
     return pb.EjectionSet(
         service=ejections.service,
         assessor_id=ejections.assessor_id,
@@ -71,7 +71,7 @@
 
 
 def read_set(message: pb.EjectionSet) -> EjectionSet:
-    """Read a verdict; an ejection whose state is of a later version is passed over."""
+    """Return the verdict in a message; ignores ejections in states of later versions."""
     return EjectionSet(
         service=ServiceName(message.service),
         assessor_id=InstanceId(message.assessor_id),
--- a/packages/node/src/persimmonusher_node/exchange.py
+++ b/packages/node/src/persimmonusher_node/exchange.py
@@ -23,23 +23,23 @@
 
 NOT_RUN_STATUSES: Final = frozenset({400, 429, 503})
 """Statuses with which a server may say that it did not run a request."""
-LONGEST_REST_SECONDS: Final = 3_600.0
-"""A server that asks for more is tried again after that."""
-DECIMAL: Final = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
-HIGHEST_LOAD: Final = 1_000_000
-"""A reported load is bounded so that a nonsense figure can't overflow a sum."""
+MAX_REST_SECONDS: Final = 3_600.0
+"""A server that asks for a longer rest is tried again after this time."""
+DECIMAL_PATTERN: Final = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
+MAX_REPORTED_LOAD: Final = 1_000_000
+"""Upper bound on a reported load, so that an absurd figure can't overflow a sum."""
 
 
 def make_upstream_request(
     call: Call, request: Request, server: BackendServer, now: float, dialect: Dialect
 ) -> UpstreamRequest:
-    """Make the request for a backend server, with the time that is left."""
+    """Make the request for a backend server; its deadline header is the remaining time."""
     headers: dict[str, str] = {}
-    dropped = list_replaced(dialect, call.identity is not None)
+    dropped = list_replaced_headers(dialect, call.identity is not None)
     for name, value in select_headers(call.headers, dropped):
         headers[name] = f"{headers[name]}, {value}" if name in headers else value
-    left = max(1, int((request.deadline - now) * 1000.0))
-    headers[dialect.deadline] = str(left)
+    remaining_ms = max(1, int((request.deadline - now) * 1000.0))
+    headers[dialect.deadline] = str(remaining_ms)
     headers[dialect.request_id] = call.request_id
     if dialect.expected_server is not None:
         headers[dialect.expected_server] = server.server_id
@@ -51,11 +51,11 @@
 
 
 @lru_cache
-def list_replaced(dialect: Dialect, identified: bool = False) -> frozenset[str]:
-    """List the request headers that the entry writes anew, or keeps from the backend server.
+def list_replaced_headers(dialect: Dialect, identified: bool = False) -> frozenset[str]:
+    """List the caller's request headers that the entry replaces or does not pass on.
 
-    Where requests are identified, these are also the caller's API key and what it says of its
-    organisation.
+    Where requests are identified by API keys, these include the key and the organisation that the
+    caller claims.
     """
     names = [dialect.deadline, dialect.request_id, dialect.expected_server or ""]
     if identified:
@@ -71,9 +71,9 @@
 
 
 def classify_answer(answer: UpstreamAnswer, dialect: Dialect = OWN_DIALECT) -> OutcomeKind:
-    """Tell how a whole answer ends an attempt."""
+    """Return the outcome of an attempt that got a whole answer."""
     if answer.status == 421 and dialect.expected_server is not None:
-        # Another server has the address now: the one that was asked for is gone.
+        # Another server has the address by now: the expected one is gone.
         return OutcomeKind.DRAINING
     reason = find_header(answer.headers, dialect.not_run)
     if reason is None or answer.status not in NOT_RUN_STATUSES:
@@ -84,15 +84,15 @@
 
 
 def read_load(answer: UpstreamAnswer, dialect: Dialect = OWN_DIALECT) -> int | None:
-    """Return the load that the answer reports, or None where it reports none that is sane."""
+    """Return the load that the answer reports, or None where it is missing or malformed."""
     text = find_header(answer.headers, dialect.load)
     if text is None or not text.isascii() or not text.isdigit() or len(text) > 9:
         return None
-    return min(int(text), HIGHEST_LOAD)
+    return min(int(text), MAX_REPORTED_LOAD)
 
 
 def read_advice(answer: UpstreamAnswer, dialect: Dialect = OWN_DIALECT) -> ServerAdvice:
-    """Return what the answer asks of instances."""
+    """Return what the answer asks of instances: rate limit, rest, and whether the server leaves."""
     text = find_header(answer.headers, dialect.rate_limit)
     rate = None if text is None else read_decimal(text)
     is_readable = text is None or rate is not None
@@ -101,16 +101,16 @@
 
 
 def read_rest(answer: UpstreamAnswer, dialect: Dialect = OWN_DIALECT) -> float:
-    """Return the seconds of rest that a server asks for in turning a request away, else 0.
+    """Return the seconds of rest that a server asks for when it refuses a request, else 0.
 
-    A 429 of a request that ran is for its caller. A date, which HTTP allows too, counts as not
-    said: servers' clocks may be wrong.
+    The Retry-After of a 429 is meant for the caller, unless the answer says that the request did
+    not run. A date, which HTTP also allows, is ignored: servers' clocks may be wrong.
     """
     is_refusal = classify_answer(answer, dialect) is OutcomeKind.REFUSED
     if answer.status != 503 and not is_refusal:
         return 0.0
     seconds = read_decimal(find_header(answer.headers, RETRY_AFTER) or "")
-    return min(LONGEST_REST_SECONDS, seconds or 0.0)
+    return min(MAX_REST_SECONDS, seconds or 0.0)
 
 
 def read_decimal(text: str) -> float | None:
@@ -119,12 +119,12 @@
     >>> read_decimal("1.5"), read_decimal(" 20 "), read_decimal("-1"), read_decimal("inf")
     (1.5, 20.0, None, None)
     """
-    match = DECIMAL.fullmatch(text.strip())
+    match = DECIMAL_PATTERN.fullmatch(text.strip())
     return float(match[0]) if match else None
 
 
 def translate_answer(answer: UpstreamAnswer, call: Call, dialect: Dialect = OWN_DIALECT) -> Answer:
-    """Make the caller's answer from a backend server's."""
+    """Make the answer for the caller from a backend server's, with the entry's own headers."""
     headers = select_headers(answer.headers, list_own_answer_headers(dialect))
     own = ((OUTCOME, CallerOutcome.RAN.value), (dialect.request_id, call.request_id))
     return Answer(
--- a/packages/node/src/persimmonusher_node/fingerprints.py
+++ b/packages/node/src/persimmonusher_node/fingerprints.py
@@ -1,4 +1,4 @@
-"""Fingerprints: equal for requests that are the same work."""
+"""Fingerprints of requests: equal for requests that ask for the same work."""
 
 import xxhash
 
@@ -6,7 +6,10 @@
 
 
 def compute_fingerprint(call: Call) -> str:
-    """Hash method, target, key and body; the parts are length-prefixed so none runs over."""
+    """Hash method, host, target, key and body.
+
+    All but the body are prefixed with their length, so that different parts can't hash alike.
+    """
     hasher = xxhash.xxh3_128()
     for part in (call.method, call.host, call.target, call.key or ""):
         encoded = part.encode("utf-8", "surrogateescape")
--- a/packages/node/src/persimmonusher_node/forwarding.py
+++ b/packages/node/src/persimmonusher_node/forwarding.py
@@ -1,10 +1,10 @@
-"""The forwarding core: carries out the decisions for each request until it has its answer.
+"""The forwarding core: carries out the decisions for each request until it has an answer.
 
 This is the only place that decides whether a request may be sent again:
 
-- work that certainly did not run (no connection, a `not run` answer) may go to another server;
-- idempotent work may go again within the retry budget;
-- anything else is answered as `unknown`, at once.
+- a request that certainly did not run (no connection, a `not run` answer) may go to another server;
+- an idempotent request may be retried within the retry budget;
+- any other request is not sent again: its caller gets the server's answer, or `unknown`, at once.
 """
 
 from collections.abc import Callable, Sequence
@@ -27,7 +27,7 @@
 from persimmonusher_model.clock import Clock
 from persimmonusher_model.identifiers import RequestId
 from persimmonusher_node.answers import CODES_BY_REASON, Answer, AnswerCode, make_error
-from persimmonusher_node.attempts import NOT_RUN_KINDS, AttemptResult, Attempts, Ended
+from persimmonusher_node.attempts import NOT_RUN_KINDS, AttemptResult, Attempts, EndedAttempt
 from persimmonusher_node.calls import Call
 from persimmonusher_node.dialect import OWN_DIALECT, Dialect
 from persimmonusher_node.exchange import classify_answer, translate_answer
@@ -42,7 +42,7 @@
 
 
 class Forwarder:
-    """Forwards requests; each in the caller's own green thread."""
+    """Forwards each request in the green thread of its caller's connection."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._runs: dict[RequestId, Run] = {}
 
     def publish_with(self, publish: Callable[[Sequence[Notice]], None]) -> None:
-        """Have the failures that are seen here told to other instances."""
+        """Set the function that publishes failures seen here to the other instances."""
         self._attempts.publish = publish
 
     @property
@@ -76,23 +76,23 @@
         return list(self._runs.values())
 
     def forward(self, call: Call, live: LiveService) -> Answer:
-        """Return the answer to a request; waits for it."""
+        """Return the answer to a request; blocks until there is one."""
         run = self._start(call, live)
         answer: Answer | None = None
         try:
-            answer = self._follow(run, live.traffic.offer(run.request, self._clock.monotonic()))
+            answer = self._carry_out(run, live.traffic.offer(run.request, self._clock.monotonic()))
             return answer
         finally:
             if answer is None or answer.stream is None:
                 self._end(run, answer)
 
     def deliver(self, live: LiveService, decision: Decision) -> None:
-        """Hand a decision that came later to the request that waits for it."""
+        """Pass a later decision to the queued request that waits for it."""
         run = self._runs.get(decision.request.request_id)
         if run is not None and run.release(decision):
             return
         if isinstance(decision, Dispatch):
-            # Its caller left, or its deadline passed, at the same moment: give the place back.
+            # The caller left, or the deadline passed, at the same moment: free the server's slot.
             self._attempts.settle(live, decision, Outcome(OutcomeKind.CANCELLED, 0.0))
 
     def _start(self, call: Call, live: LiveService) -> Run:
@@ -137,12 +137,12 @@
         outcome = CallerOutcome.UNKNOWN if answer is None else answer.outcome
         run.record.status = 500 if answer is None else answer.status
         run.record.result = outcome.value if code is None else f"{outcome.value} ({code.value})"
-        whole = self._clock.monotonic() - run.call.arrived
-        finished = FinishedRequest(run.record, outcome, code, whole, run.server_seconds)
+        total_seconds = self._clock.monotonic() - run.call.arrived
+        finished = FinishedRequest(run.record, outcome, code, total_seconds, run.server_seconds)
         self._observer.observe(finished)
 
-    def _follow(self, run: Run, decision: Decision) -> Answer:
-        """Carry out decisions until one of them, or an attempt, ends the request."""
+    def _carry_out(self, run: Run, decision: Decision) -> Answer:
+        """Carry out decisions until a decision or an attempt ends the request."""
         while True:
             run.record.add_decision(decision, self._clock.monotonic())
             if isinstance(decision, Refusal):
@@ -153,24 +153,24 @@
                     return self._abandon(run)
                 decision = released
                 continue
-            answer, following = self._attempt(run, decision)
-            if following is None:
+            answer, next_decision = self._attempt(run, decision)
+            if next_decision is None:
                 return answer
-            if isinstance(following, Refusal) and answer.outcome is not CallerOutcome.NOT_RUN:
-                run.record.add_decision(following, self._clock.monotonic())
+            if isinstance(next_decision, Refusal) and answer.outcome is not CallerOutcome.NOT_RUN:
+                run.record.add_decision(next_decision, self._clock.monotonic())
                 return answer
-            decision = following
+            decision = next_decision
 
     def _attempt(self, run: Run, dispatch: Dispatch) -> tuple[Answer, Decision | None]:
-        """Make one attempt; return its answer, and the decision to go on with, if any."""
+        """Make one attempt; return its answer and the next decision, if any."""
         ended = self._attempts.carry_out(run, dispatch)
         answer = self._make_answer(run, ended.result)
         if ended.is_streaming:
             return self._stream(run, ended, answer), None
         return answer, self._decide_again(run, ended.dispatch, ended.outcome)
 
-    def _stream(self, run: Run, ended: Ended, answer: Answer) -> Answer:
-        """Leave the request in flight until the rest of its long answer has passed."""
+    def _stream(self, run: Run, ended: EndedAttempt, answer: Answer) -> Answer:
+        """Keep the request in flight until the rest of its long answer has been passed on."""
         assert answer.stream is not None
 
         def end(broken: OutcomeKind | None) -> None:
@@ -185,14 +185,16 @@
 
     def _make_answer(self, run: Run, result: AttemptResult) -> Answer:
         if isinstance(result, AttemptError):
-            known = None if run.may_have_run else CallerOutcome.NOT_RUN
+            known_outcome = None if run.may_have_run else CallerOutcome.NOT_RUN
             if result.kind in NOT_RUN_KINDS and run.may_have_run:
-                known = CallerOutcome.UNKNOWN
-            return make_error(result.code, str(result), run.call.request_id, outcome=known)
+                known_outcome = CallerOutcome.UNKNOWN
+            return make_error(result.code, str(result), run.call.request_id, outcome=known_outcome)
         if classify_answer(result, self._dialect) in NOT_RUN_KINDS:
-            known = CallerOutcome.UNKNOWN if run.may_have_run else CallerOutcome.NOT_RUN
+            known_outcome = CallerOutcome.UNKNOWN if run.may_have_run else CallerOutcome.NOT_RUN
             message = "the backend server refused the request without running it"
-            return make_error(AnswerCode.OVERLOAD, message, run.call.request_id, outcome=known)
+            return make_error(
+                AnswerCode.OVERLOAD, message, run.call.request_id, outcome=known_outcome
+            )
         return translate_answer(result, run.call, self._dialect)
 
     def _decide_again(self, run: Run, dispatch: Dispatch, outcome: Outcome) -> Decision | None:
@@ -203,13 +205,13 @@
             return None
         if not run.may_begin(self._clock.monotonic()):
             return None
-        # A hedged request was sent to two servers, whichever of them answered last.
-        counted = replace(dispatch, attempt=max(dispatch.attempt, run.sent))
-        return run.live.traffic.retry(counted, outcome, self._clock.monotonic())
+        # A hedged request counts as two attempts, whichever server answered last.
+        numbered = replace(dispatch, attempt=max(dispatch.attempt, run.hedge_attempt))
+        return run.live.traffic.retry(numbered, outcome, self._clock.monotonic())
 
     def _refuse(self, run: Run, refusal: Refusal) -> Answer:
         code = CODES_BY_REASON[refusal.reason]
-        known = CallerOutcome.UNKNOWN if run.may_have_run else None
+        known_outcome = CallerOutcome.UNKNOWN if run.may_have_run else None
         if refusal.reason in AFTER_ATTEMPTS and not run.may_have_run:
             code = AnswerCode.OVERLOAD
         message = REFUSAL_MESSAGES[refusal.reason]
@@ -218,16 +220,16 @@
             message,
             run.call.request_id,
             retry_after=refusal.retry_after,
-            outcome=known,
+            outcome=known_outcome,
             decimals=self._dialect.retry_after_decimals,
         )
 
     def _abandon(self, run: Run) -> Answer:
         """Answer a request that was stopped while it waited."""
-        known = CallerOutcome.UNKNOWN if run.may_have_run else CallerOutcome.NOT_RUN
+        known_outcome = CallerOutcome.UNKNOWN if run.may_have_run else CallerOutcome.NOT_RUN
         code = AnswerCode.DEADLINE if run.stopped is OutcomeKind.TIMEOUT else AnswerCode.CALLER_LEFT
         message = "the request was stopped while it waited for a backend server"
-        return make_error(code, message, run.call.request_id, outcome=known)
+        return make_error(code, message, run.call.request_id, outcome=known_outcome)
 
 
 REFUSAL_MESSAGES: Final = {
--- a/packages/node/src/persimmonusher_node/headers.py
+++ b/packages/node/src/persimmonusher_node/headers.py
@@ -1,6 +1,6 @@
 """The HTTP header names that callers, entries and backend servers exchange.
 
-docs/reference/interfaces.md is the page for people; a name changed here must change there.
+They are documented in docs/reference/interfaces.md, which must be changed with them.
 """
 
 from collections.abc import Iterable
@@ -14,11 +14,11 @@
 REQUEST_CLASS: Final = "Persimmonusher-Class"
 """Caller to entry: the request's class, for metrics and fairness."""
 REQUEST_ID: Final = "X-Request-Id"
-"""All ways: names one request; made by the entry when the caller gives none."""
+"""All directions: identifies one request; the entry makes one if the caller gives none."""
 DEADLINE: Final = "Persimmonusher-Deadline-Ms"
 """Caller to entry, and entry to backend server: milliseconds left for the whole answer."""
 IDEMPOTENCY_KEY: Final = "Idempotency-Key"
-"""Caller to entry and on: equal on each resend of the same non-idempotent request."""
+"""Caller to entry, passed on: equal on each resend of the same non-idempotent request."""
 OUTCOME: Final = "Persimmonusher-Outcome"
 """Entry to caller: see `CallerOutcome`."""
 REPLAYED: Final = "Persimmonusher-Replayed"
@@ -26,12 +26,12 @@
 NOT_RUN: Final = "Persimmonusher-Not-Run"
 """Backend server to entry: see `NotRunReason`."""
 LOAD: Final = "Persimmonusher-Load"
-"""Backend server to entry: requests in progress and queued there, all callers."""
+"""Backend server to entry: requests in progress and queued there, from all callers."""
 RATE_LIMIT: Final = "Persimmonusher-Rate-Limit"
-"""Backend server to entry: requests a second that it takes from all instances together, a decimal
-number, for as long as its answers say so."""
+"""Backend server to entry: requests a second that it accepts from all instances together, a decimal
+number; it holds for as long as its answers carry it."""
 LEAVING: Final = "Persimmonusher-Leaving"
-"""Backend server to entry: `1` in all answers of a server that leaves."""
+"""Backend server to entry: `1` in all answers of a server that is leaving."""
 RETRY_AFTER: Final = "Retry-After"
 
 
@@ -66,17 +66,19 @@
         "upgrade",
     }
 )
-"""Headers that hold for one connection only and are never passed on."""
+"""Headers that apply to one connection only and are never passed on."""
 
 
 def select_headers(headers: Iterable[tuple[str, str]], dropped: frozenset[str]) -> HeaderList:
-    """Return the end-to-end headers but those in `dropped` and those `Connection` names."""
+    """Return the end-to-end headers without those in `dropped` or listed in `Connection`."""
     kept = tuple(headers)
-    named = {
+    connection_specific = {
         token.strip().lower()
         for name, value in kept
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    unwanted = HOP_BY_HOP | dropped | named if named else HOP_BY_HOP | dropped
+    unwanted = (
+        HOP_BY_HOP | dropped | connection_specific if connection_specific else HOP_BY_HOP | dropped
+    )
     return tuple((name, value) for name, value in kept if name.lower() not in unwanted)
--- a/packages/node/src/persimmonusher_node/identification.py
+++ b/packages/node/src/persimmonusher_node/identification.py
@@ -1,4 +1,4 @@
-"""Whose request it is, by the API key that comes with it."""
+"""Identifies the organisation of a request by its API key."""
 
 from dataclasses import dataclass
 
@@ -22,9 +22,9 @@
 def identify(
     book: OrganisationBook, headers: HeaderList, is_public: bool, dialect: Dialect
 ) -> Identity | None:
-    """Return whose request it is, or None where its API key is missing or unknown.
+    """Return the identity behind a request, or None if its API key is missing or unknown.
 
-    On a public route no key is needed, but one that is known still counts.
+    On a public route no key is needed, but a known one still identifies the organisation.
     """
     digest = find_key(headers, dialect)
     organisation = None if digest is None else book.find_by_key(digest)
@@ -36,8 +36,8 @@
 def find_key(headers: HeaderList, dialect: Dialect) -> KeyDigest | None:
     """Return the digest of the API key in a request's headers.
 
-    None where there is none, or where several say different things: which of them a backend server
-    would have read is not to be guessed.
+    Returns None if there is none, or if there are several different ones: it is not known which of
+    them a backend server would have read.
     """
     name = dialect.credentials.lower()
     values = {value.strip() for header, value in headers if header.lower() == name}
--- a/packages/node/src/persimmonusher_node/keyed.py
+++ b/packages/node/src/persimmonusher_node/keyed.py
@@ -1,4 +1,7 @@
-"""Requests with an Idempotency-Key: claimed before the first byte, outcome kept for a resend."""
+"""Requests with an Idempotency-Key: the key is claimed before a byte is sent to a server.
+
+The outcome is kept, so that a resend gets it instead of running the request again.
+"""
 
 from typing import Final
 
@@ -32,9 +35,9 @@
 }
 
 
-SETTLE_SECONDS: Final = 2.0
-"""Time after the deadline in which the outcome still reaches the registers. A resend is told that
-the request runs until then, and that its outcome is unknown after."""
+SETTLEMENT_GRACE_SECONDS: Final = 2.0
+"""Time after the deadline for the outcome to reach the registers. Until then a resend is answered
+that the request is still running, and after that its outcome is unknown."""
 
 
 class KeyedForwarder:
@@ -45,13 +48,13 @@
         self._claims = claims
 
     def forward(self, call: Call, live: LiveService) -> Answer:
-        """Claim the key, forward the request, and keep its outcome; waits for the answer."""
+        """Claim the key, forward the request and store its outcome; blocks until the answer."""
         assert call.key is not None
         key = ClaimKey(live.name, call.caller, call.key)
-        window = live.profile.key_window_ms / 1000.0
-        deadline = live.profile.deadline_ms if call.deadline_ms is None else call.deadline_ms
-        pending = deadline / 1000.0 + SETTLE_SECONDS
-        result = self._claim(key, compute_fingerprint(call), window, pending)
+        window_seconds = live.profile.key_window_ms / 1000.0
+        deadline_ms = live.profile.deadline_ms if call.deadline_ms is None else call.deadline_ms
+        pending_seconds = deadline_ms / 1000.0 + SETTLEMENT_GRACE_SECONDS
+        result = self._claim(key, compute_fingerprint(call), window_seconds, pending_seconds)
         if result.status is ClaimStatus.FINISHED and result.answer is not None:
             return make_replay(result.answer, call.request_id)
         if result.status is not ClaimStatus.GRANTED:
@@ -59,9 +62,11 @@
             return make_error(code, message, call.request_id)
         return self._run(call, live, key)
 
-    def _claim(self, key: ClaimKey, fingerprint: str, window: float, pending: float) -> ClaimResult:
+    def _claim(
+        self, key: ClaimKey, fingerprint: str, window_seconds: float, pending_seconds: float
+    ) -> ClaimResult:
         try:
-            return self._claims.claim(key, fingerprint, window, pending)
+            return self._claims.claim(key, fingerprint, window_seconds, pending_seconds)
         except UsherError:
             return ClaimResult(ClaimStatus.NO_QUORUM)
 
@@ -74,21 +79,21 @@
             self._settle(key, answer)
 
     def _settle(self, key: ClaimKey, answer: Answer | None) -> None:
-        """Settle the claim; the adapter does so in the background.
+        """Settle the claim; the adapter sends the outcome to the registers in the background.
 
-        The caller need not wait for the registers: were this instance lost before they have the
-        outcome, a resend would be told that it is unknown, which is then the truth.
+        The caller need not wait for that. If this instance is lost before the registers have the
+        outcome, a resend is answered that it is unknown, which is then correct.
         """
         if answer is not None and answer.outcome is CallerOutcome.NOT_RUN:
             self._claims.release(key)
         elif answer is None or answer.outcome is not CallerOutcome.RAN or answer.stream is not None:
             self._claims.give_up(key)
         else:
-            self._claims.finish(key, store(answer))
+            self._claims.finish(key, make_stored_answer(answer))
 
 
-def store(answer: Answer) -> StoredAnswer:
-    """Make the stored form of an answer, without what belongs to one exchange only."""
-    own = (OUTCOME, REQUEST_ID)
-    headers = tuple(pair for pair in answer.headers if pair[0] not in own)
+def make_stored_answer(answer: Answer) -> StoredAnswer:
+    """Return the stored form of an answer, without the headers that only one exchange carries."""
+    exchange_headers = (OUTCOME, REQUEST_ID)
+    headers = tuple(pair for pair in answer.headers if pair[0] not in exchange_headers)
     return StoredAnswer(answer.status, headers, answer.body)
--- a/packages/node/src/persimmonusher_node/listener.py
+++ b/packages/node/src/persimmonusher_node/listener.py
@@ -1,6 +1,7 @@
-"""An HTTP listener on eventlet's WSGI server, with bounds on connections and slow senders.
+"""An HTTP listener on eventlet's WSGI server, with limits on connections and slow senders.
 
-The accept loop is our own so that a graceful stop can tell idle connections from those in use.
+It has its own accept loop so that a graceful stop can distinguish idle connections from those in
+use.
 """
 
 import socket
@@ -19,30 +20,30 @@
 
 WsgiApplication: TypeAlias = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
-BACKLOG: Final = 1024
+ACCEPT_BACKLOG: Final = 1024
 ACCEPT_PAUSE_SECONDS: Final = 0.05
-"""Pause after a failed accept, such as for want of file descriptors, so as not to spin."""
+"""Pause after a failed accept, for example without free file descriptors, to avoid a busy loop."""
 STOP_POLL_SECONDS: Final = 0.02
-HANDSHAKE_SECONDS: Final = 0.05
-"""Time for connections that were being opened to reach the accept queue, some round trips of the
-balancer that opens them."""
+HANDSHAKE_WAIT_SECONDS: Final = 0.05
+"""Time for pending handshakes to reach the accept queue: some round trips to the balancer that
+opens them."""
 
-FULL_BODY: Final = (
+OVERLOAD_BODY: Final = (
     b'{"code": "overload", "message": "too many connections", "outcome": "not-run"}\n'
 )
-FULL_ANSWER: Final = (
+OVERLOAD_ANSWER: Final = (
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nRetry-After: 1\r\n"
     b"Persimmonusher-Outcome: not-run\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s"
-    % (len(FULL_BODY), FULL_BODY)
+    % (len(OVERLOAD_BODY), OVERLOAD_BODY)
 )
 
 
 @dataclass(frozen=True)
 class ListenerLimits:
-    """Bounds of one listener; durations are seconds."""
+    """Limits of one listener; durations are in seconds."""
 
     connections: int = 1024
-    """More are answered with 503 at once: an unbounded number would end the process instead."""
+    """More are answered with 503 at once: an unbounded number would exhaust the process."""
     idle_seconds: float = 60.0
     """How long a connection may stay without a request."""
     head_seconds: float = 10.0
@@ -50,13 +51,13 @@
     body_seconds: float = 30.0
     """How long the body may take."""
     write_seconds: float = 30.0
-    """How long one write may wait for a caller that doesn't read."""
+    """How long one write may wait for a caller that does not read."""
     head_bytes: int = 65_536
-    """How long the request line and headers may be: one instance holds thousands of them."""
+    """Size of the request line and headers: one instance holds thousands of them in memory."""
 
 
 class LimitedServer(Server):  # type: ignore[misc]
-    """eventlet's server with this listener's bounds, for the protocol to read."""
+    """eventlet's server with the listener's limits and state, which the protocol reads."""
 
     limits: ListenerLimits
     draining: bool = False
@@ -94,7 +95,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the port that the socket is bound to."""
         return int(self._socket.getsockname()[1])
 
     @property
@@ -103,41 +104,42 @@
         return len(self._connections)
 
     def replace_limits(self, limits: ListenerLimits) -> None:
-        """Take other limits; what a connection waits for at the moment keeps its time."""
+        """Replace the limits; a wait in progress on a connection keeps its old time-out."""
         self._limits = limits
         self._server.limits = limits
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start to accept connections."""
         self._thread = eventlet.spawn(self._accept)
 
     def close_after_answers(self) -> None:
-        """Answer all further requests with `Connection: close`, still accepting."""
+        """Answer all further requests with `Connection: close`, but keep accepting connections."""
         self._server.draining = True
 
     def stop_accepting(self) -> None:
         """Close the listening socket and idle connections; requests in flight go on.
 
-        Connections that the kernel has taken already are accepted first: closing the socket would
-        reset them, with the requests that their callers may have sent. None can come between the
-        last accept and the close, as new ones are dropped from here on. An idle connection is shut
-        for reading only: a request whose bytes have arrived is still read and answered.
+        Connections in the kernel's accept queue are accepted first: closing the socket would reset
+        them, and lose requests that their callers may have sent. No connection can arrive between
+        the last accept and the close, as the packets that open new ones are dropped from here on,
+        where the kernel supports that. Idle connections are shut down for reading only: a request
+        whose bytes have arrived is still read and answered.
         """
         self.close_after_answers()
         if drop_new_connections(self._socket):
-            eventlet.sleep(HANDSHAKE_SECONDS)
+            eventlet.sleep(HANDSHAKE_WAIT_SECONDS)
         if self._thread is not None:
             self._thread.kill()
             self._thread = None
         idle = [state for state in self._connections.values() if state[2] == STATE_IDLE]
-        self._accept_waiting()
+        self._accept_pending()
         self._socket.close()
         for state in idle:
             state[3].shut()
         eventlet.spawn_after(LAST_REQUEST_SECONDS, self._shut_idle)
 
     def wait_until_idle(self, deadline: Callable[[], bool]) -> bool:
-        """Wait until every connection has ended; False when `deadline` tells so first."""
+        """Wait until every connection has ended; return False if `deadline` returns True first."""
         while self._connections:
             if deadline():
                 return False
@@ -145,7 +147,7 @@
         return True
 
     def abort(self) -> None:
-        """Cut off what is left."""
+        """Cut off the remaining connections."""
         for state in list(self._connections.values()):
             shut(state[1])
 
@@ -156,19 +158,19 @@
             except OSError:
                 eventlet.sleep(ACCEPT_PAUSE_SECONDS)
                 continue
-            self._take(connection, peer)
+            self._add_connection(connection, peer)
 
-    def _accept_waiting(self) -> None:
-        """Accept what waits, without waiting for more."""
-        below: socket.socket = getattr(self._socket, "fd", self._socket)
+    def _accept_pending(self) -> None:
+        """Accept the connections in the accept queue, without waiting for more."""
+        raw_socket: socket.socket = getattr(self._socket, "fd", self._socket)
         while True:
             try:
-                connection, peer = below.accept()
+                connection, peer = raw_socket.accept()
             except OSError:
                 return
-            self._take(GreenSocket(connection), peer)
+            self._add_connection(GreenSocket(connection), peer)
 
-    def _take(self, connection: socket.socket, peer: Any) -> None:
+    def _add_connection(self, connection: socket.socket, peer: Any) -> None:
         if len(self._connections) >= self._limits.connections:
             refuse(connection)
             return
@@ -194,7 +196,7 @@
 
 
 def bind(address: str) -> socket.socket:
-    """Listen on an `ip:port`; raise OSError that names the address."""
+    """Listen on an `ip:port`; raise an OSError that names the address if that fails."""
     host, _, port = address.rpartition(":")
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -203,15 +205,15 @@
     except OSError as error:
         listening.close()
         raise OSError(error.errno, f"can't listen on {address}: {error.strerror}") from error
-    listening.listen(BACKLOG)
+    listening.listen(ACCEPT_BACKLOG)
     return listening
 
 
 def refuse(connection: socket.socket) -> None:
-    """Answer a connection over the limit with 503, without waiting."""
+    """Answer a connection over the limit with 503 and close it, without waiting."""
     try:
         connection.setblocking(False)
-        connection.send(FULL_ANSWER)
+        connection.send(OVERLOAD_ANSWER)
         connection.shutdown(socket.SHUT_WR)
     except OSError:
         return
@@ -220,7 +222,7 @@
 
 
 def shut(connection: socket.socket) -> None:
-    """Shut a socket down; one that is already closed stays so."""
+    """Shut a socket down; do nothing if it is already closed."""
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
--- a/packages/node/src/persimmonusher_node/observer.py
+++ b/packages/node/src/persimmonusher_node/observer.py
@@ -1,4 +1,4 @@
-"""What logs and metrics are told of each finished request."""
+"""The observer that logs and metrics implement, and its view of a finished request."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class FinishedRequest:
-    """The end of a request. Times are seconds."""
+    """A finished request. Times are in seconds."""
 
     record: RequestRecord
     outcome: CallerOutcome
@@ -18,12 +18,12 @@
     whole: float
     """From the request's arrival to its answer."""
     server: float
-    """The part of it spent waiting for backend servers."""
+    """The part of `whole` spent waiting for backend servers."""
 
 
 class RequestObserver(ABC):
-    """Is told of every request that ends."""
+    """Receives every request that ends."""
 
     @abstractmethod
     def observe(self, finished: FinishedRequest) -> None:
-        """Take note; must neither wait nor raise."""
+        """Handle the end of a request; must neither block nor raise."""
--- a/packages/node/src/persimmonusher_node/parts.py
+++ b/packages/node/src/persimmonusher_node/parts.py
@@ -1,4 +1,4 @@
-"""The adapters of the ports that one instance runs with."""
+"""The adapters that implement the ports of one instance."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -16,16 +16,16 @@
 from persimmonusher_node.services import ServiceBook
 
 
-def make_no_more(services: ServiceBook, records: RecordRing) -> tuple[Component, ...]:
-    """Make no components, for an instance that runs alone."""
+def make_no_components(services: ServiceBook, records: RecordRing) -> tuple[Component, ...]:
+    """Return no components; for an instance that runs alone."""
     return ()
 
 
 @dataclass(frozen=True)
 class Parts:
-    """The ports' adapters, and the components among them in the order of their start.
+    """The ports' adapters, and those that are components, in the order in which they start.
 
-    `make_more` makes the components that look into the data plane, once it is there.
+    `make_more` makes the components that read the data plane's state, once that exists.
     """
 
     view: ConfigurationView
@@ -33,5 +33,5 @@
     membership: Membership
     claims: KeyClaims
     components: tuple[Component, ...] = ()
-    make_more: Callable[[ServiceBook, RecordRing], Sequence[Component]] = make_no_more
+    make_more: Callable[[ServiceBook, RecordRing], Sequence[Component]] = make_no_components
     quotas: Quotas = field(default_factory=Unlimited)
--- a/packages/node/src/persimmonusher_node/protocol.py
+++ b/packages/node/src/persimmonusher_node/protocol.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 from a caller: eventlet's protocol with bounds in time and strict framing."""
+"""HTTP/1.1 from a caller: eventlet's protocol with time limits and strict framing."""
 
 import json
 import re
@@ -16,61 +16,61 @@
 from persimmonusher_node.caller_reader import CallerReader
 
 ENVIRON_KEY: Final = "persimmonusher.protocol"
-"""Where the WSGI application finds the protocol of its connection."""
+"""Key in the WSGI environment of the connection's `HttpProtocol`."""
 LAST_REQUEST_SECONDS: Final = 1.0
 """How long a connection may take to send one more request while the listener stops."""
 LINGER_BYTES: Final = 262_144
 LINGER_SECONDS: Final = 1.0
 _TOKEN: Final = re.compile(r"[A-Za-z0-9!#$%&'*+.^_`|~-]+")
-_VISIBLE: Final = re.compile(r"[!-~]+")
-_BREAKS: Final = re.compile(r"[\r\n\0]")
+_VISIBLE_ASCII: Final = re.compile(r"[!-~]+")
+_FORBIDDEN_IN_VALUE: Final = re.compile(r"[\r\n\0]")
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
 
 
 class SlowHead(Exception):  # noqa: N818
-    """The request line and headers took too long."""
+    """Raised when the request line and headers took too long."""
 
 
 class HeadMessage(HTTPMessage):
-    """The headers of a head without a body: what a body would be is not looked at.
+    """The headers of a request, parsed without looking at the body's type.
 
-    The parser asks several times for each head whether it holds a multipart body, which no caller's
-    head does.
+    The standard parser checks several times per head for a multipart body, which the head of a
+    request never contains.
     """
 
     def get_content_type(self) -> str:
-        """Return the type of a body that the parser needn't take apart."""
+        """Return a type that the parser does not treat as multipart."""
         return "text/plain"
 
     def get_content_maintype(self) -> str:
-        """Return the main type of the same."""
+        """Return the main type of `get_content_type`."""
         return "text"
 
 
 class HttpProtocol(wsgi.HttpProtocol):  # type: ignore[misc]
-    """One connection of a caller."""
+    """One connection from a caller."""
 
     MessageClass = HeadMessage
     rfile: BufferedReader
 
     _head_timer: eventlet.Timeout | None = None
     answered = False
-    """Whether a request of this connection was taken before."""
+    """Whether a request on this connection was accepted before."""
     closes_after_answer = False
-    """Whether an answer told the caller that the connection ends, without being asked to."""
+    """Whether an answer closes the connection because of a stop, unasked by the caller."""
     resetting = False
     unread = False
-    """Whether a part of the request was left unread; the connection can't be used again."""
+    """Whether a part of the request stays unread, so that the connection can't be used again."""
 
     def setup(self) -> None:
-        """Read through the reader that sees callers leave."""
+        """Read through the CallerReader, which detects that a caller has left."""
         super().setup()
         self.rfile.close()
         self.reader: CallerReader = self.conn_state[3]
         self.rfile = BufferedReader(self.reader)
 
     def handle_one_request(self) -> None:
-        """Wait for a request, bound the time its head takes, and have it answered."""
+        """Wait for a request, limit the time for its head, and answer it."""
         head = self._wait_for_bytes()
         if not head:
             self.close_connection = 1
@@ -86,7 +86,7 @@
             self._stop_head_timer()
 
     def get_environ(self) -> dict[str, Any]:
-        """Make the WSGI environment once the head is read."""
+        """Make the WSGI environment; called once the head is read."""
         self._stop_head_timer()
         self.answered = True
         if self.server.draining and not self.close_connection:
@@ -97,7 +97,7 @@
         return environ
 
     def parse_request(self) -> bool:
-        """Read the head; refuse one whose framing could be read in two ways."""
+        """Parse the head; refuse one that is too long, malformed or ambiguously framed."""
         if not super().parse_request():
             return False
         if measure_head(self.requestline, self.headers) > self.server.limits.head_bytes:
@@ -129,28 +129,28 @@
         self.wfile.flush()
 
     def close_unread(self) -> None:
-        """Close the connection after this answer, as the request's rest stays unread."""
+        """Close the connection after this answer, as the rest of the request stays unread."""
         self.close_connection = 1
         self.unread = True
 
     def cut_off(self) -> None:
-        """End the connection by a reset, as a part of the answer can't be had.
+        """End the connection with a reset, as the rest of the answer is not available.
 
-        Without Content-Length an old caller takes the end of the connection for the end of the
-        answer; a reset shows every caller that it is not whole.
+        Without Content-Length an HTTP/1.0 caller treats a normal close as the end of the answer; a
+        reset shows every caller that the answer is not whole.
         """
         self.close_connection = 1
         self.resetting = True
 
     def finish(self) -> None:
-        """End the connection; read a bounded rest so that the last answer isn't lost to a reset.
+        """End the connection; first read a limited amount of unread bytes, to avoid a reset.
 
-        A close with unread bytes makes the kernel send a reset, which may overtake the answer: so
-        does a caller's next request that came before it saw `Connection: close`.
+        Closing with unread bytes makes the kernel send a reset, which may overtake the last answer.
+        This also happens when the caller sent its next request before it saw `Connection: close`.
         """
         if self.resetting:
             self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            # The kernel's socket is closed with the last of the three that hold it.
+            # The kernel's socket is closed only once all three objects that hold it are closed.
             for holder in (self.wfile, self.rfile, self.connection):
                 with suppress(OSError):
                     holder.close()
@@ -172,7 +172,7 @@
 
     def _wait_for_bytes(self) -> bytes:
         if self.answered and self.reader.has_caller_left():
-            # Nobody waits for answers to what it sent ahead, and no server should work on that.
+            # Requests that it sent ahead are not run, as nothing would read their answers.
             return b""
         self.connection.settimeout(self._find_idle_seconds())
         try:
@@ -185,8 +185,8 @@
     def _find_idle_seconds(self) -> float:
         """Return how long the connection may stay without a request.
 
-        An answer that was begun before a stop has promised to keep the connection, so that one
-        more request may be on its way; longer than for that the stop isn't held up.
+        An answer begun before a stop did not announce the close, so one more request may be on its
+        way. The stop waits for that one, but no longer.
         """
         idle_seconds: float = self.server.limits.idle_seconds
         return min(idle_seconds, LAST_REQUEST_SECONDS) if self.server.draining else idle_seconds
@@ -198,31 +198,31 @@
 
 
 def measure_head(line: str, headers: Any) -> int:
-    """Return the bytes of a head as a caller writes it, with its line ends."""
+    """Return the size of a head in bytes, with its line ends."""
     return len(line) + 4 + sum(len(name) + len(value) + 4 for name, value in headers.raw_items())
 
 
 def _is_plain(name: str, value: str) -> bool:
-    return _TOKEN.fullmatch(name) is not None and _BREAKS.search(value) is None
+    return _TOKEN.fullmatch(name) is not None and _FORBIDDEN_IN_VALUE.search(value) is None
 
 
 def find_line_problem(method: str, target: str) -> str | None:
-    """Tell why a request line is refused, or return None.
+    """Return why a request line is refused, or None if it is valid.
 
-    What can't be written to a backend server must be refused here: failing there would be held
-    against the server.
+    A request that can't be written to a backend server must be refused here: a failure there would
+    count against the server.
     """
     if _TOKEN.fullmatch(method) is None:
         return "the method is no token"
-    if _VISIBLE.fullmatch(target) is None:
+    if _VISIBLE_ASCII.fullmatch(target) is None:
         return "the target may hold visible ASCII characters only"
     return None
 
 
 def find_framing_problem(headers: Any) -> str | None:
-    """Tell why a head's framing is refused, or return None.
+    """Return why a head's framing is refused, or None if it is valid.
 
-    Two readings of where a request ends would let one caller's bytes become another request.
+    If the end of a request were ambiguous, a part of its body could be read as another request.
     """
     if headers.defects or not all(_is_plain(name, value) for name, value in headers.raw_items()):
         return "a header line is malformed"
--- a/packages/node/src/persimmonusher_node/records.py
+++ b/packages/node/src/persimmonusher_node/records.py
@@ -1,4 +1,4 @@
-"""What was decided for each of the latest requests, where and why, for `explain`."""
+"""Records of the decisions for the latest requests, with servers and reasons, for `explain`."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 from persimmonusher_model.identifiers import CallerId, RequestId, ServerId, ServiceName
 from persimmonusher_node.ports import Freshness
 
-KEPT_RECORDS: Final = 4096
+MAX_RECORDS: Final = 4096
 """About 4 MB: some seconds of full load, and hours of a quiet service."""
 
 
@@ -22,7 +22,7 @@
     reason: str
     server: ServerId | None = None
     summary: str = ""
-    """Of a dispatch: what is counted of it, one of few words."""
+    """For a dispatch: the label under which metrics count it, one of a few values."""
 
 
 @dataclass
@@ -39,15 +39,15 @@
     arrived: float
     revision: int
     freshness: Freshness | None = None
-    """How old the configuration was that the request was decided by."""
+    """How old the configuration was on which the decisions were based."""
     status: int = 0
     """The status answered to the caller, 0 while the request is in flight."""
     result: str = "in-flight"
-    """The outcome told to the caller, with the code of an error."""
+    """The outcome answered to the caller, with the code of an error."""
     steps: list[DecisionStep] = field(default_factory=list)
 
     def add_decision(self, decision: Decision, now: float) -> None:
-        """Note a decision."""
+        """Append a step for a decision."""
         after = now - self.arrived
         if isinstance(decision, Dispatch):
             summary = describe_asked(decision)
@@ -62,18 +62,18 @@
         self.steps.append(step)
 
     def add_outcome(self, dispatch: Dispatch, outcome: Outcome, now: float) -> None:
-        """Note the end of an attempt."""
+        """Append a step for the outcome of an attempt."""
         server = dispatch.server.server_id
         step = DecisionStep(now - self.arrived, "outcome", outcome.kind.value, server)
         self.steps.append(step)
 
     def add_note(self, step: str, reason: str, now: float) -> None:
-        """Note a step that no decision module took."""
+        """Append a step that is not a decision, such as the caller's departure."""
         self.steps.append(DecisionStep(now - self.arrived, step, reason))
 
 
 def describe_asked(dispatch: Dispatch) -> str:
-    """Return how an attempt on a server that asked for less is counted, empty for another one."""
+    """Return the label of an attempt on a server that asked for less work, else an empty text."""
     if dispatch.asked is Asked.NOTHING:
         return ""
     return f"{dispatch.asked.value}-{'first' if dispatch.attempt == 1 else 'further'}"
@@ -82,17 +82,17 @@
 class RecordRing:
     """The latest records of this instance, the oldest dropped first."""
 
-    def __init__(self, capacity: int = KEPT_RECORDS) -> None:
+    def __init__(self, capacity: int = MAX_RECORDS) -> None:
         self._capacity = capacity
         self._records: OrderedDict[RequestId, RequestRecord] = OrderedDict()
 
     def add(self, record: RequestRecord) -> None:
-        """Keep a record; a later request with the same id replaces an earlier one."""
+        """Add a record; it replaces an earlier one of the same request id."""
         self._records.pop(record.request_id, None)
         self._records[record.request_id] = record
         if len(self._records) > self._capacity:
             self._records.popitem(last=False)
 
     def explain(self, request_id: RequestId) -> RequestRecord | None:
-        """Return the record of a request that this instance handled lately, or None."""
+        """Return the record of a recent request at this instance, or None."""
         return self._records.get(request_id)
--- a/packages/node/src/persimmonusher_node/registered_servers.py
+++ b/packages/node/src/persimmonusher_node/registered_servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that the log holds, by service."""
+"""The backend servers registered in the replicated log, by service."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 class RegisteredServers:
-    """Registrations of servers that have not ended, with a version for each service."""
+    """Registrations of servers that have not stopped, with a version for each service."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, Registration] = {}
@@ -19,11 +19,11 @@
         self._versions: dict[str, int] = {}
 
     def take(self, server_id: str, record: Record | None) -> None:
-        """Take a server's latest record; None, like its end, removes it."""
-        former = self._by_id.pop(server_id, None)
-        if former is not None:
-            self._by_service[former.service].pop(server_id, None)
-            self._count(former.service)
+        """Apply a server's latest record; None or a stopped server removes its registration."""
+        previous = self._by_id.pop(server_id, None)
+        if previous is not None:
+            self._by_service[previous.service].pop(server_id, None)
+            self._increase_version(previous.service)
         if record is None or record.body is None:
             return
         server = decode_registration(server_id, record.body)
@@ -31,7 +31,7 @@
             return
         self._by_id[server_id] = server
         self._by_service.setdefault(server.service, {})[server_id] = server
-        self._count(server.service)
+        self._increase_version(server.service)
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -41,13 +41,13 @@
         return self._by_service.get(service, {}).values()
 
     def is_in_domain(self, server_id: str, failure_domain: str) -> bool:
-        """Tell whether a server is known, and runs in a failure domain."""
+        """Return whether a server is registered in a failure domain."""
         server = self._by_id.get(server_id)
         return server is not None and server.failure_domain == failure_domain
 
     def version(self, service: str) -> int:
-        """Return a number that changes whenever `list_all` would."""
+        """Return a number that changes whenever the result of `list_all` changes."""
         return self._versions.get(service, 0)
 
-    def _count(self, service: str) -> None:
+    def _increase_version(self, service: str) -> None:
         self._versions[service] = self._versions.get(service, 0) + 1
--- a/packages/node/src/persimmonusher_node/route_table.py
+++ b/packages/node/src/persimmonusher_node/route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix, for one look-up in each request."""
+"""Routes by host and path prefix; looked up once for each request."""
 
 from typing import Final
 
@@ -20,15 +20,15 @@
         self._depth = max(self._depth, prefix.count("/"))
 
     def remove(self, prefix: str) -> bool:
-        """Remove a prefix; tell whether none is left."""
+        """Remove a prefix; return whether none is left."""
         self._services.pop(prefix, None)
         return not self._services
 
     def find(self, path: str) -> ServiceName | None:
-        """Return the service of the longest prefix that ends where a path segment does.
+        """Return the service of the longest prefix that ends at a segment boundary of the path.
 
-        The path is cut to the depth of the deepest prefix first, so that a path of thousands of
-        slashes costs no more than a short one.
+        The path is cut to the depth of the deepest prefix first, so that a path with thousands
+        of slashes costs no more than a short one.
         """
         prefix = "/".join(path.split("/", self._depth + 1)[: self._depth + 1])
         while prefix:
@@ -40,7 +40,7 @@
 
 
 class RouteTable:
-    """All routes; a host's own come before those for any host."""
+    """All routes; a host's own routes take precedence over those for any host."""
 
     def __init__(self) -> None:
         self._hosts: dict[str, HostRoutes] = {}
@@ -64,8 +64,8 @@
         service = routes.find(path) if routes is not None else None
         if service is not None:
             return service
-        shared = self._hosts.get(ANY_HOST)
-        return shared.find(path) if shared is not None else None
+        any_host_routes = self._hosts.get(ANY_HOST)
+        return any_host_routes.find(path) if any_host_routes is not None else None
 
 
 def _split(name: str) -> tuple[str, str]:
--- a/packages/node/src/persimmonusher_node/rule_table.py
+++ b/packages/node/src/persimmonusher_node/rule_table.py
@@ -1,4 +1,4 @@
-"""The routes of a routing document, for one look-up in each request."""
+"""The route rules of a routing document; looked up once for each request."""
 
 from collections.abc import Iterable
 
@@ -13,16 +13,16 @@
         self._lengths: list[int] = []
 
     def add(self, rule: RouteRule) -> None:
-        """Add a rule."""
+        """Add a rule; it replaces an earlier one for the same prefix."""
         self._rules[rule.prefix] = rule
         if len(rule.prefix) not in self._lengths:
             self._lengths = sorted([*self._lengths, len(rule.prefix)], reverse=True)
 
     def find(self, path: str) -> RouteRule | None:
-        """Return the rule of the longest prefix that begins the path.
+        """Return the rule of the longest prefix of the path.
 
-        Prefixes have few different lengths, so a look-up for each of them costs less than one for
-        each prefix.
+        Prefixes have few different lengths, so one look-up per length costs less than one per
+        prefix.
         """
         for length in self._lengths:
             rule = self._rules.get(path[:length])
@@ -32,7 +32,7 @@
 
 
 class RuleTable:
-    """All rules by host; made anew for each document."""
+    """All rules by host; each document gets a new table."""
 
     def __init__(self, rules: Iterable[RouteRule] = ()) -> None:
         self._hosts: dict[str, HostRules] = {}
--- a/packages/node/src/persimmonusher_node/runs.py
+++ b/packages/node/src/persimmonusher_node/runs.py
@@ -1,14 +1,16 @@
 """A request in flight: what it waits for, and how it is ended early.
 
-What the end of a request's time, or the departure of its caller, means at each step:
+When the deadline passes or the caller leaves, the effect depends on where the request is:
 
-- before the first byte of any attempt, be it the first, a further one or a copy: it isn't sent;
-- in the queue: it is taken out;
-- at a server: idempotent work is cancelled. Other work goes on to its end, since cutting it off
-  would only turn its outcome unknown; what a server then refuses is not sent on.
+- before the first byte of an attempt (the first, a retry or a hedged copy): it is not sent;
+- in the queue: it is removed from the queue;
+- at a server, past the deadline: the attempt is cut off;
+- at a server, after the caller left: an idempotent request is cancelled. Any other goes on to its
+  end, since cutting it off would only make its outcome unknown; if the server then refuses it, it
+  is not sent to another one.
 
-That holds for work with an idempotency key too: its claim is released with the refusal, so that a
-resend runs at once, and nothing runs later for a caller that has given up.
+The same holds for a request with an idempotency key. Its claim is released when the request did not
+run, so that a resend runs at once, and nothing runs later for a caller that has left.
 """
 
 from eventlet.event import Event
@@ -21,7 +23,7 @@
 
 
 class Run:
-    """One request in flight at this instance, in a green thread of its own."""
+    """One request in flight at this instance, in the green thread of its caller's connection."""
 
     def __init__(
         self, call: Call, live: LiveService, request: Request, record: RequestRecord
@@ -32,36 +34,36 @@
         self.record = record
         self._attempts: dict[int, Attempt] = {}
         self.may_have_run = False
-        """Whether an attempt ended without proof that the request did not run."""
+        """Whether some attempt ended without proof that the server did not run the request."""
         self.server_seconds = 0.0
         self.stopped: OutcomeKind | None = None
         """TIMEOUT once the deadline passed, CANCELLED once the caller of idempotent work left."""
-        self.sent = 1
-        """Attempts that were sent, copies included."""
-        self.settled = False
+        self.hedge_attempt = 1
+        """Attempt number of the hedged copy; 1 where none was sent."""
+        self.has_winner = False
         """Whether one copy of a hedged request has won."""
         self.caller_left = False
         """Whether the caller was seen to have left."""
         self._release: Event | None = None
 
     def add_attempt(self, dispatch: Dispatch, attempt: Attempt) -> None:
-        """Take an attempt that `stop` must reach."""
+        """Register an attempt so that `stop` can cancel it."""
         self._attempts[dispatch.attempt] = attempt
         if self.stopped is not None:
             attempt.cancel(self.stopped)
 
     def remove_attempt(self, dispatch: Dispatch) -> None:
-        """Forget an attempt that ended."""
+        """Remove an attempt that has ended."""
         self._attempts.pop(dispatch.attempt, None)
 
-    def cancel_attempts(self, kind: OutcomeKind, but: Dispatch | None = None) -> None:
-        """End the attempts in flight, but for one."""
+    def cancel_attempts(self, kind: OutcomeKind, except_for: Dispatch | None = None) -> None:
+        """Cancel the attempts in flight, except for one."""
         for number, attempt in list(self._attempts.items()):
-            if but is None or number != but.attempt:
+            if except_for is None or number != except_for.attempt:
                 attempt.cancel(kind)
 
     def wait(self) -> Decision | None:
-        """Wait for the release of a queued request; None when it was stopped meanwhile."""
+        """Wait until the queued request is released; return None if it was stopped first."""
         if self.stopped is not None:
             self.live.traffic.withdraw(self.request)
             return None
@@ -70,7 +72,7 @@
         return decision
 
     def release(self, decision: Decision | None) -> bool:
-        """Hand a decision to the waiting run; False when it doesn't wait any more."""
+        """Pass a decision to the waiting request; return False if it does not wait any more."""
         event, self._release = self._release, None
         if event is None:
             return False
@@ -79,11 +81,11 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Tell whether the request is queued."""
+        """Return whether the request is queued."""
         return self._release is not None
 
     def stop(self, kind: OutcomeKind) -> None:
-        """End the run early; `kind` is TIMEOUT or CANCELLED."""
+        """End the request early; `kind` is TIMEOUT or CANCELLED."""
         if self.stopped is not None:
             return
         self.stopped = kind
@@ -93,9 +95,9 @@
         self.cancel_attempts(kind)
 
     def may_begin(self, now: float) -> bool:
-        """Tell whether an attempt may begin now; asks the caller's connection itself.
+        """Return whether an attempt may begin now; stops the request where it may not.
 
-        The periodic check of callers may be late, so it isn't relied on.
+        This checks the caller's connection itself, since the periodic check may be late.
         """
         if now >= self.request.deadline:
             self.stop(OutcomeKind.TIMEOUT)
@@ -104,7 +106,7 @@
         return self.stopped is None and not self.caller_left
 
     def leave(self, now: float) -> None:
-        """Take note that the caller left; cancel idempotent work and what waits here."""
+        """Record that the caller left; cancel the request if it is idempotent or queued."""
         if not self.caller_left:
             self.caller_left = True
             self.record.add_note("left", "the caller closed its connection", now)
--- a/packages/node/src/persimmonusher_node/services.py
+++ b/packages/node/src/persimmonusher_node/services.py
@@ -1,4 +1,4 @@
-"""The services that this instance has traffic for, kept in step with the ports."""
+"""The services that this instance has traffic for, kept up to date with the ports."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -17,16 +17,16 @@
 from persimmonusher_model.routing import RouteRule
 from persimmonusher_node.ports import ConfigurationView, Freshness, Membership, ServerDirectory
 
-FORGET_SECONDS: Final = 600.0
-"""A service without requests for this long costs no more ticks; its evidence is stale by then."""
+SERVICE_RETENTION_SECONDS: Final = 600.0
+"""A service without requests for this long is dropped to save ticks; its evidence is stale then."""
 
 
-CHOOSERS_KEPT: Final = 10_000
-"""Routes whose turns are remembered; with more, all begin anew, which costs no correctness."""
+MAX_CHOOSERS: Final = 10_000
+"""Most routes whose weighted choosers are kept; beyond it all start anew, which is harmless."""
 
 
 class LiveService:
-    """One service's traffic decisions with the revisions that they were last fed."""
+    """One service's traffic decisions, with the profile and servers that they were last given."""
 
     def __init__(
         self, name: ServiceName, traffic: ServiceTraffic, profile: Profile, now: float
@@ -36,25 +36,25 @@
         self.profile = profile
         self.servers_version = -1
         self.opened: Event | None = None
-        """Sent once the assessor's first verdict is in force, or was waited for in vain."""
+        """Sent once the assessor's first verdict is in force, or could not be had."""
         self.used = now
         self.in_flight = 0
 
 
 @dataclass(frozen=True)
 class RoutedService:
-    """Where a request goes, and the rule of its route where the routing document has it."""
+    """The service of a request, and its route's rule if the routing document has the route."""
 
     live: LiveService
     rule: RouteRule | None = None
 
 
-def _open_at_once(live: LiveService) -> None:
-    """Wait for nothing, as an instance that runs alone."""
+def _open_immediately(live: LiveService) -> None:
+    """Open without waiting; for an instance that runs alone."""
 
 
 class ServiceBook:
-    """Makes and refreshes `LiveService` from the configuration and the directory."""
+    """Creates each `LiveService` and refreshes it from the configuration and the directory."""
 
     def __init__(
         self,
@@ -77,22 +77,22 @@
         self._services: dict[ServiceName, LiveService] = {}
         self._entries = 1
         self._choosers: dict[RouteRule, WeightedChooser] = {}
-        self._opening: Callable[[LiveService], None] = _open_at_once
+        self._open_service: Callable[[LiveService], None] = _open_immediately
 
     def revision(self) -> Revision:
         """Return the configuration revision in force here."""
         return self._view.revision()
 
     def is_configured(self) -> bool:
-        """Tell whether there is a configuration to answer callers by."""
+        """Return whether this instance has a configuration."""
         return self._view.is_configured()
 
     def is_current(self) -> bool:
-        """Tell whether no later revision can have been in force for long."""
+        """Return whether no later revision can have been in force for long."""
         return self._view.is_current()
 
     def find_freshness(self) -> Freshness | None:
-        """Return how stale the configuration may be; None where that isn't known."""
+        """Return how stale the configuration may be; None if unknown."""
         return self._view.find_freshness()
 
     @property
@@ -100,12 +100,12 @@
         """Return the organisations in force; None where requests carry no API keys."""
         return self._view.organisations
 
-    def open_with(self, opening: Callable[[LiveService], None]) -> None:
-        """Have each service opened by a call, which may wait, before its first request."""
-        self._opening = opening
+    def open_with(self, open_service: Callable[[LiveService], None]) -> None:
+        """Set a function, which may block, that is called before a service's first request."""
+        self._open_service = open_service
 
     def find(self, host: str, path: str) -> LiveService | None:
-        """Return the service that a request is for, with the profile and servers of now.
+        """Return the service that a request is for, with its current profile and servers.
 
         The first requests of a service at this instance wait until it is opened.
         """
@@ -116,7 +116,10 @@
         return live
 
     def match(self, host: str, path: str) -> RoutedService | None:
-        """Return where a request goes, by the routing document first and then by own routes."""
+        """Return the service and rule of a request.
+
+        The routing document is looked up first, then the routes of the configuration.
+        """
         rule = self._view.find_rule(host, path)
         if rule is None:
             live = self.find(host, path)
@@ -130,13 +133,13 @@
     def _choose_service(self, rule: RouteRule) -> ServiceName:
         chooser = self._choosers.get(rule)
         if chooser is None:
-            if len(self._choosers) >= CHOOSERS_KEPT:
+            if len(self._choosers) >= MAX_CHOOSERS:
                 self._choosers.clear()
             chooser = self._choosers[rule] = WeightedChooser(rule.services, self._random)
         return chooser.choose()
 
     def get(self, name: ServiceName) -> LiveService | None:
-        """Return a service brought up to date, or None for one without a profile."""
+        """Return a service with its current profile and servers; None if it has no profile."""
         profile = self._view.find_profile(name)
         if profile is None:
             return None
@@ -152,10 +155,10 @@
         return iter(list(self._services.values()))
 
     def advance(self, deliver: Callable[[LiveService, Decision], None], everything: bool) -> None:
-        """Let time pass for the services in use, or for all, and hand on what this releases.
+        """Advance the traffic of the services and deliver the decisions that this releases.
 
-        A service without a request in flight has nothing to release, so that with thousands of
-        services the frequent call looks only at those in use.
+        Unless `everything` is set, services without a request in flight are skipped: they have
+        nothing to release, and there may be thousands of them.
         """
         for live in list(self._services.values()):
             if live.in_flight or everything:
@@ -165,7 +168,7 @@
         self, live: LiveService, deliver: Callable[[LiveService, Decision], None]
     ) -> None:
         now = self._clock.monotonic()
-        if not live.in_flight and now - live.used > FORGET_SECONDS:
+        if not live.in_flight and now - live.used > SERVICE_RETENTION_SECONDS:
             del self._services[live.name]
             return
         profile = self._view.find_profile(live.name)
@@ -175,7 +178,7 @@
             deliver(live, decision)
 
     def count_entries(self) -> None:
-        """Take the number of live entries, which share each server's connections."""
+        """Update the number of live entries, which share each server's connections."""
         self._entries = max(1, self._membership.count_entries())
         for live in self._services.values():
             live.traffic.replace_entry_count(self._entries)
@@ -184,7 +187,7 @@
         if live.opened is None:
             live.opened = Event()
             try:
-                self._opening(live)
+                self._open_service(live)
             finally:
                 live.opened.send()
         elif not live.opened.ready():
--- a/packages/node/src/persimmonusher_node/sockets.py
+++ b/packages/node/src/persimmonusher_node/sockets.py
@@ -1,26 +1,26 @@
-"""A look at a socket without waiting and without taking bytes from it."""
+"""Checks what can be read from a socket, without waiting and without consuming bytes."""
 
 import socket
 from enum import Enum
 
 
 class Pending(Enum):
-    """What a socket has to be read."""
+    """The kinds of what can be read from a socket."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
     END = "end"
-    """The peer closed, or the connection broke."""
+    """The peer closed the connection, or it broke."""
 
 
 def peek(connection: socket.socket) -> Pending:
-    """Tell what could be read from a green socket now.
+    """Return what can be read from a green socket at the moment.
 
     eventlet's own `recv` waits whatever the flags; the socket below it does not.
     """
-    below: socket.socket = getattr(connection, "fd", connection)
+    raw_socket: socket.socket = getattr(connection, "fd", connection)
     try:
-        data = below.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        data = raw_socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return Pending.NOTHING
     except OSError:
--- a/packages/node/src/persimmonusher_node/streams.py
+++ b/packages/node/src/persimmonusher_node/streams.py
@@ -1,4 +1,4 @@
-"""The rest of an answer that is too long to be held whole."""
+"""The rest of an answer that is too long to be buffered."""
 
 from collections.abc import Callable, Iterator
 
@@ -7,10 +7,11 @@
 
 
 class AnswerStream(Iterator[bytes]):
-    """Passes a backend server's answer on and tells once how it ended.
+    """Passes on a backend server's answer and calls `end` exactly once with how it ended.
 
-    A class rather than a generator: a generator that was never begun doesn't run its `finally`,
-    and the place on the backend server would stay taken.
+    `end` gets None for a whole answer, else the kind of failure. This is a class and not a
+    generator because a generator that is never started does not run its `finally`: the request
+    would stay in flight at the backend server.
     """
 
     def __init__(self, source: Iterator[bytes], end: Callable[[OutcomeKind | None], None]) -> None:
@@ -21,20 +22,20 @@
         try:
             return next(self._source)
         except StopIteration:
-            self._tell(None)
+            self._report_end(None)
             raise
         except AttemptError as error:
-            self._tell(error.kind)
+            self._report_end(error.kind)
             raise
 
     def close(self) -> None:
-        """End the stream; the caller left before its end when it is not at the end."""
+        """Close the stream; before its end that means that the caller left: CANCELLED."""
         close = getattr(self._source, "close", None)
         if close is not None:
             close()
-        self._tell(OutcomeKind.CANCELLED)
+        self._report_end(OutcomeKind.CANCELLED)
 
-    def _tell(self, broken: OutcomeKind | None) -> None:
+    def _report_end(self, broken: OutcomeKind | None) -> None:
         end, self._end = self._end, None
         if end is not None:
             end(broken)
--- a/packages/node/src/persimmonusher_node/upstream.py
+++ b/packages/node/src/persimmonusher_node/upstream.py
@@ -1,7 +1,7 @@
-"""HTTP to backend servers: one attempt of one request on a kept or a fresh connection.
+"""HTTP to backend servers: one attempt of one request on a pooled or a new connection.
 
-An attempt knows at each moment whether a byte of the request may have left, so that its failure
-says truly whether the request may have run.
+An attempt tracks whether a byte of the request may have been sent, so that its error says correctly
+whether the request may have run.
 """
 
 import socket
@@ -21,12 +21,12 @@
 from persimmonusher_node.dialect import OWN_DIALECT, Dialect
 from persimmonusher_node.headers import HeaderList
 
-CHUNK_BYTES: Final = 65_536
+STREAM_CHUNK_BYTES: Final = 65_536
 
 
 @dataclass(frozen=True)
 class UpstreamRequest:
-    """The request as it is written to a backend server."""
+    """The request as it is written to a backend server; `target` is the path with its query."""
 
     request_id: str
     method: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class UpstreamAnswer:
-    """A backend server's answer: whole when `stream` is None, else the stream is its rest."""
+    """A backend server's answer; `stream`, where there is one, yields the rest of the body."""
 
     status: int
     headers: HeaderList
@@ -47,7 +47,7 @@
 
 
 class AttemptError(Exception):
-    """An attempt that brought no whole answer."""
+    """An attempt that failed without a whole answer."""
 
     def __init__(
         self, kind: OutcomeKind, code: AnswerCode, message: str, is_unsent: bool = False
@@ -56,16 +56,16 @@
         self.kind = kind
         self.code = code
         self.is_unsent = is_unsent
-        """Whether it certainly ended before the first byte, whatever its kind."""
+        """Whether the attempt certainly ended before the first byte was sent, whatever its kind."""
 
 
-def begin_always() -> bool:
-    """Let an attempt begin, where nobody may leave and no server asks for rest meanwhile."""
+def always_allow() -> bool:
+    """Allow every attempt; the default where neither caller nor server is to be checked."""
     return True
 
 
 class Upstream:
-    """The pools of all backend servers that were spoken to lately."""
+    """The connection pools of the backend servers used recently."""
 
     def __init__(self, clock: Clock, buffered_bytes: int, dialect: Dialect = OWN_DIALECT) -> None:
         self._clock = clock
@@ -78,13 +78,13 @@
         server: BackendServer,
         request: UpstreamRequest,
         deadline: float,
-        may_begin: Callable[[], bool] = begin_always,
-        may_send: Callable[[], bool] = begin_always,
+        may_begin: Callable[[], bool] = always_allow,
+        may_send: Callable[[], bool] = always_allow,
     ) -> "Attempt":
-        """Prepare an attempt; `run` carries it out, `cancel` may end it from elsewhere.
+        """Prepare an attempt; `run` carries it out, `cancel` ends it from another green thread.
 
-        At the last moment before the first byte `may_begin` is asked, on behalf of the caller, and
-        `may_send`, on behalf of the server.
+        Just before the first byte is sent, `may_begin` is called to check that the caller still
+        wants the request, and `may_send` to check that the server still accepts it.
         """
         pool = self._pools.get(server.address)
         if pool is None:
@@ -103,14 +103,14 @@
         )
 
     def expire(self) -> None:
-        """Close idle connections and forget servers without any."""
+        """Close connections idle for too long and drop the pools of unused servers."""
         for address, pool in list(self._pools.items()):
             pool.expire()
-            if pool.is_forgotten():
+            if pool.is_unused():
                 del self._pools[address]
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all pooled connections."""
         for pool in self._pools.values():
             pool.close()
         self._pools.clear()
@@ -127,8 +127,8 @@
         clock: Clock,
         buffered_bytes: int,
         dialect: Dialect = OWN_DIALECT,
-        may_begin: Callable[[], bool] = begin_always,
-        may_send: Callable[[], bool] = begin_always,
+        may_begin: Callable[[], bool] = always_allow,
+        may_send: Callable[[], bool] = always_allow,
     ) -> None:
         self._pool = pool
         self._may_begin = may_begin
@@ -142,14 +142,14 @@
         self._stopped: OutcomeKind | None = None
 
     def run(self) -> UpstreamAnswer:
-        """Send the request and read the answer; raise AttemptError where that fails."""
+        """Send the request and read the answer; raise AttemptError if that fails."""
         connection = self._open()
         try:
             response = self._exchange(connection)
             return self._read(connection, response)
         except (HTTPError, HTTPException, OSError, ValueError) as error:
             connection.close()
-            raise self._explain(error, connection) from error
+            raise self._make_error(error, connection) from error
         except BaseException:
             connection.close()
             raise
@@ -166,29 +166,29 @@
                 return
 
     def _open(self) -> ServerConnection:
-        self._check_wanted()
-        connection = self._pool.take(self._request.idempotent)
+        self._check_may_begin()
+        connection = self._pool.acquire(self._request.idempotent)
         if connection is None:
             connection = self._connect()
         self._socket = connection.sock
         return connection
 
     def _connect(self) -> ServerConnection:
-        """Open a connection, and keep it for others where the attempt is over by then."""
+        """Open a connection; if the attempt may not begin by then, leave it in the pool."""
         try:
             connection = self._pool.connect(self._remaining())
         except (HTTPError, OSError) as error:
             message = "no connection to the backend server"
             raise AttemptError(OutcomeKind.UNREACHED, AnswerCode.NO_SERVER, message) from error
         try:
-            self._check_wanted()
+            self._check_may_begin()
         except AttemptError:
-            self._pool.give_back(connection)
+            self._pool.release(connection)
             raise
         return connection
 
-    def _check_wanted(self) -> None:
-        """Raise where the attempt must not begin any more; nothing has left yet."""
+    def _check_may_begin(self) -> None:
+        """Raise AttemptError if the attempt must not begin any more; nothing has been sent yet."""
         if self._stopped is None and self._may_begin():
             if self._may_send():
                 return
@@ -203,7 +203,7 @@
 
     def _exchange(self, connection: ServerConnection) -> BaseHTTPResponse:
         connection.timeout = self._remaining()
-        connection.byte_left = False
+        connection.may_have_sent = False
         connection.request(
             self._request.method,
             self._request.target,
@@ -229,11 +229,11 @@
         return UpstreamAnswer(response.status, headers, b"".join(parts))
 
     def _check_answer(self, response: BaseHTTPResponse) -> None:
-        """Refuse an answer whose end can't be checked or that belongs to another request.
+        """Raise HTTPException for an answer without a checkable end or to another request.
 
-        An answer that ends with the connection can't be told from a cut-off one. A doubled answer
-        of the connection's last request may arrive just after the check for silence; a server
-        that echoes the request id shows it here.
+        An answer that ends with the connection can't be distinguished from a cut-off one. A
+        duplicate answer to the connection's previous request may arrive just after the check for
+        pending data; where the server echoes the request id, it is detected here.
         """
         if response.status < 200:
             raise HTTPException(f"an interim answer {response.status} in place of the final one")
@@ -250,10 +250,10 @@
         return chunked or response.length_remaining is not None
 
     def _check_origin(self, response: BaseHTTPResponse) -> None:
-        """Refuse a success that the server didn't make.
+        """Raise HTTPException for a success that the server's application did not produce.
 
-        Guards against a server that hands out wrong bytes as a success: it lacks the server's
-        signature, or comes in a coding that nobody asked for.
+        Guards against wrong bytes sent as a success: such an answer lacks the server's signature,
+        or has a content coding that was not requested.
         """
         signature = self._dialect.signature
         is_success = 200 <= response.status < 300
@@ -263,30 +263,30 @@
             raise HTTPException("the answer came in a coding that was not asked for")
 
     def _stream(self, connection: ServerConnection, response: BaseHTTPResponse) -> Iterator[bytes]:
-        """Yield the rest of a long answer; raise AttemptError where it is cut off."""
+        """Yield the rest of a long answer; raise AttemptError if it is cut off."""
         done = False
         try:
-            while data := response.read(CHUNK_BYTES, decode_content=False):
+            while data := response.read(STREAM_CHUNK_BYTES, decode_content=False):
                 yield data
             self._keep(connection)
             done = True
         except (HTTPError, HTTPException, OSError, ValueError) as error:
-            raise self._explain(error, connection) from error
+            raise self._make_error(error, connection) from error
         finally:
             if not done:
                 connection.close()
 
     def _keep(self, connection: ServerConnection) -> None:
-        # http.client has dropped the socket of an answer that ends its connection.
+        # http.client has already dropped the socket if the answer ends its connection.
         if connection.sock is not None and self._stopped is None:
-            self._pool.give_back(connection)
+            self._pool.release(connection)
         else:
             connection.close()
 
-    def _explain(self, error: Exception, connection: ServerConnection) -> AttemptError:
+    def _make_error(self, error: Exception, connection: ServerConnection) -> AttemptError:
         if self._stopped is OutcomeKind.CANCELLED:
             return AttemptError(OutcomeKind.CANCELLED, AnswerCode.CALLER_LEFT, "cancelled")
-        if not connection.byte_left:
+        if not connection.may_have_sent:
             message = "the request could not be written"
             return AttemptError(OutcomeKind.UNREACHED, AnswerCode.NO_SERVER, message)
         if self._stopped is OutcomeKind.TIMEOUT or _is_timeout(error):
--- a/packages/node/tests/test_announcements.py
+++ b/packages/node/tests/test_announcements.py
@@ -5,7 +5,7 @@
 
 from entry_harness import SERVICE, EntryTestCase
 
-from persimmonusher_node.announcements import LARGEST_ANNOUNCEMENT, AnnouncementsApplication
+from persimmonusher_node.announcements import MAX_ANNOUNCEMENT_BYTES, AnnouncementsApplication
 from persimmonusher_node.listener import HttpListener
 
 GOOD: dict[str, Any] = {
@@ -66,7 +66,7 @@
             (b"{", "/announce", "POST", 400),
             (b"[" * 5_000, "/announce", "POST", 400),
             (b"[]", "/announce", "POST", 400),
-            (b" " * (LARGEST_ANNOUNCEMENT + 1), "/announce", "POST", 400),
+            (b" " * (MAX_ANNOUNCEMENT_BYTES + 1), "/announce", "POST", 400),
             (b"", "/other", "POST", 404),
             (b"", "/announce", "GET", 405),
         ]
--- a/packages/node/tests/test_caller_reader.py
+++ b/packages/node/tests/test_caller_reader.py
@@ -10,7 +10,7 @@
 import eventlet  # noqa: E402
 from eventlet.greenio import GreenSocket  # noqa: E402
 
-from persimmonusher_node.caller_reader import LONGEST_AHEAD, CallerReader  # noqa: E402
+from persimmonusher_node.caller_reader import MAX_READ_AHEAD_BYTES, CallerReader  # noqa: E402
 
 
 class CallerReaderTest(unittest.TestCase):
@@ -46,7 +46,7 @@
                 sent += self.caller.send(b"x" * 65_536)
             except BlockingIOError:
                 self.assertFalse(self.reader.has_caller_left())
-        self.assertLess(sent, LONGEST_AHEAD * 20)
+        self.assertLess(sent, MAX_READ_AHEAD_BYTES * 20)
         self.assertEqual(self.file.read(sent), b"x" * sent)
 
     def test_an_end_made_on_this_side_is_not_taken_for_the_callers(self) -> None:
--- a/packages/node/tests/test_server_advice.py
+++ b/packages/node/tests/test_server_advice.py
@@ -8,7 +8,7 @@
 from persimmonusher_decisions.advice import ServerAdvice
 from persimmonusher_decisions.work import OutcomeKind
 from persimmonusher_node.clock import SystemClock
-from persimmonusher_node.exchange import LONGEST_REST_SECONDS, read_advice
+from persimmonusher_node.exchange import MAX_REST_SECONDS, read_advice
 from persimmonusher_node.upstream import AttemptError, Upstream, UpstreamAnswer, UpstreamRequest
 
 
@@ -29,7 +29,7 @@
 
     # Guards against a rest that nobody asked for, or one without end.
     def test_a_rest_is_asked_for_by_turning_a_request_away(self) -> None:
-        for text, seconds in (("3", 3.0), ("0.25", 0.25), ("99999", LONGEST_REST_SECONDS)):
+        for text, seconds in (("3", 3.0), ("0.25", 0.25), ("99999", MAX_REST_SECONDS)):
             self.assertEqual(read(503, Retry_After=text).rest_seconds, seconds)
         for text in ("", "-3", "Thu, 03 Dec 2026 10:00:00 GMT", "3, 3", "nan"):
             self.assertEqual(read(503, Retry_After=text).rest_seconds, 0.0)
