--- a/packages/node/src/persimmonusher_node/announcements.py
+++ b/packages/node/src/persimmonusher_node/announcements.py
@@ -109,9 +109,9 @@
             return HTTPStatus.BAD_REQUEST, _list_findings(error.findings)
         taken = self._directory.announce(server)
         if not self._directory.relays_announcements():
-            # This instance is cut off: it lists the server as announced, leaving for example, but no
-            # other instance learns of it. On the 503 the server announces again, and the balancer
-            # gives it another instance.
+            # This instance is cut off: it lists the server as announced (leaving, for example), but
+            # no other instance learns of it. On the 503 the server announces again, and the
+            # balancer gives it another instance.
             message = "this instance is cut off from the others; announce again at once"
             return HTTPStatus.SERVICE_UNAVAILABLE, _describe("unavailable", message)
         return HTTPStatus.OK, {"taken": taken, "announce_again_ms": self._announce_again_ms}
--- a/packages/node/tests/entry_harness.py
+++ b/packages/node/tests/entry_harness.py
@@ -1,4 +1,4 @@
-"""An entry on loopback with in-memory ports, scripted backend servers and a plain caller."""
+"""An entry on loopback with in-memory ports, scripted backend servers and a simple caller."""
 
 from persimmonusher_node import loop
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Heard:
-    """A request as a scripted server read it, whole."""
+    """A request that a scripted server has read whole."""
 
     method: str
     target: str
@@ -55,13 +55,13 @@
 
 
 Behaviour = Callable[[socket.socket, Heard], bool]
-"""Acts on a request that was read whole; tells whether the connection goes on."""
+"""Handles a request that was read whole; returns whether to keep the connection open."""
 
 
 def answer(
     body: bytes = b"ok", status: str = "200 OK", *headers: str, close: bool = False
 ) -> Behaviour:
-    """Answer whole."""
+    """Send a whole answer; `close` closes the connection after it."""
 
     def act(connection: socket.socket, heard: Heard) -> bool:
         lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""]
@@ -72,7 +72,7 @@
 
 
 def send(raw: bytes, go_on: bool = False) -> Behaviour:
-    """Send these bytes as the answer and close."""
+    """Send these bytes as the answer; close the connection unless `go_on` is set."""
 
     def act(connection: socket.socket, heard: Heard) -> bool:
         connection.sendall(raw)
@@ -82,7 +82,7 @@
 
 
 def stall(seconds: float, then: Behaviour) -> Behaviour:
-    """Answer late."""
+    """Wait, then behave as `then`."""
 
     def act(connection: socket.socket, heard: Heard) -> bool:
         eventlet.sleep(seconds)
@@ -97,12 +97,12 @@
 
 @dataclass
 class ScriptedServer:
-    """A backend server that acts by a script, one behaviour a request, then by `default`."""
+    """A backend server that follows a script, one behaviour per request, and then `default`."""
 
     name: str
     script: list[Behaviour] = field(default_factory=list)
     ran: list[Heard] = field(default_factory=list)
-    """Requests that it really ran: all it read whole, but those it refused as not run."""
+    """Requests that it ran: all that it read whole, except those that it refused as not run."""
     default: Behaviour = field(default_factory=answer)
     connections: int = 0
     cut_on_accept: int = 0
@@ -110,7 +110,7 @@
     cut_in_request: int = 0
     """How many connections it closes in the middle of a request."""
     cut_after: int = 1
-    """After how many bytes of it."""
+    """After how many bytes of the request `cut_in_request` closes."""
 
     def __post_init__(self) -> None:
         self._socket = socket.create_server(("127.0.0.1", 0))
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True)
 class Told:
-    """What the caller was told."""
+    """The answer that the caller received."""
 
     status: int
     outcome: str | None
@@ -201,7 +201,7 @@
 
 
 class ScriptedQuotas(Quotas):
-    """Gives the same verdict on every request, and counts them by organisation."""
+    """Gives the same verdict on every request, and counts the requests by organisation."""
 
     def __init__(self) -> None:
         self.verdict = QuotaVerdict.GRANTED
@@ -216,7 +216,10 @@
 
 
 class EntryTestCase(unittest.TestCase):
-    """Starts one entry before two scripted servers; `profile` and `limits` may be overridden."""
+    """Starts one entry with scripted servers, two by default.
+
+    Subclasses may override `profile`, `limits`, `server_names` and `dialect`.
+    """
 
     profile = PROFILE
     limits = Limits()
@@ -228,7 +231,7 @@
         self.servers = [self.add_server(name) for name in self.server_names]
 
     def start_entry(self) -> None:
-        """Start an entry without any memory of the servers, in place of an earlier one."""
+        """Start an entry without any state about the servers, in place of an earlier one."""
         settings = Settings(
             instance_id="e1",
             failure_domain="a",
@@ -296,10 +299,10 @@
         return read_answer(connection.getresponse())
 
     def send_raw(self, raw: bytes) -> bytes:
-        """Send bytes as they are and return all that comes until the connection ends.
+        """Send bytes unchanged and return all that is received until the connection ends.
 
-        A reset raises ConnectionResetError: eventlet's own `recv` would hide it as an end in good
-        order, so the socket below is read.
+        A reset raises ConnectionResetError: eventlet's own `recv` reports it as a normal
+        end of stream, so the socket below it is read.
         """
         with socket.create_connection(("127.0.0.1", self.listener.port), timeout=10) as connection:
             connection.sendall(raw)
--- a/packages/node/tests/lone_instance.py
+++ b/packages/node/tests/lone_instance.py
@@ -1,6 +1,6 @@
-"""One instance as a process of its own, with its configuration in memory.
+"""Runs one instance as a process, with its configuration in memory.
 
-`python lone_instance.py SETTINGS PROFILE`, both JSON documents.
+Usage: `python lone_instance.py SETTINGS PROFILE`; both arguments are JSON documents.
 """
 
 from persimmonusher_node import loop
--- a/packages/node/tests/test_announcements.py
+++ b/packages/node/tests/test_announcements.py
@@ -31,8 +31,8 @@
         self.addCleanup(self.listener.stop_accepting)
 
     def announce(self, body: bytes, path: str = "/announce", method: str = "POST") -> Any:
-        told = self.call(method, path, body)
-        return told.status, json.loads(told.body)
+        response = self.call(method, path, body)
+        return response.status, json.loads(response.body)
 
     def test_an_announcement_is_taken_once_and_says_when_to_come_again(self) -> None:
         body = json.dumps(GOOD).encode()
@@ -44,8 +44,9 @@
         self.assertEqual((server.server_id, server.state.value), ("s9", "ready"))
 
     def test_an_instance_that_is_cut_off_sends_the_server_elsewhere(self) -> None:
-        # A worker says that it is leaving, to an instance that no other can hear. It is told so and
-        # asks another one; otherwise work would go on to it until it spoke again.
+        # A server announces that it is leaving to an instance that is cut off from all others. The
+        # answer makes it announce to another one; otherwise the other instances would send it work
+        # until its next announcement.
         with mock.patch.object(self.directory, "relays_announcements", return_value=False):
             status, document = self.announce(json.dumps({**GOOD, "state": "draining"}).encode())
         self.assertEqual((status, document["code"]), (503, "unavailable"))
--- a/packages/node/tests/test_answers.py
+++ b/packages/node/tests/test_answers.py
@@ -5,7 +5,7 @@
 
 class RetryAfterTest(unittest.TestCase):
     def test_it_is_rounded_up_to_what_callers_read(self) -> None:
-        """A caller that reads whole seconds only must not take a part of one for none."""
+        """A caller that reads whole seconds only must not read a fraction of a second as 0."""
         cases = [
             (0.234, 0, "1"),
             (0.234, 2, "0.24"),
--- a/packages/node/tests/test_api_keys.py
+++ b/packages/node/tests/test_api_keys.py
@@ -65,8 +65,8 @@
 
     def test_a_server_is_told_the_organisation_and_not_the_key(self) -> None:
         """Guards against keys that reach servers, and callers that name another organisation."""
-        told = self.ask(**{"X-Organisation": "berg", "x-other": "kept"})
-        self.assertEqual(told.status, 200)
+        response = self.ask(**{"X-Organisation": "berg", "x-other": "kept"})
+        self.assertEqual(response.status, 200)
         heard = self.get_last()
         self.assertEqual(heard.headers["x-organisation"], "acme")
         self.assertEqual(heard.headers["x-other"], "kept")
@@ -74,13 +74,13 @@
         self.assertNotIn(SECRET, repr(heard))
 
     def test_a_request_without_a_known_key_is_denied(self) -> None:
-        """Guards against requests that run for nobody, or for one of two organisations."""
+        """Guards against requests that run without an organisation, or for one of two given."""
         cases = [None, "unknown", "", f"{SECRET} {SECRET}", f"{SECRET}, Token other-key"]
         for key in cases:
             with self.subTest(key):
-                told = self.ask(key)
-                self.assertEqual((told.status, told.outcome), (401, "not-run"))
-                self.assertEqual(told.headers["www-authenticate"], "Token")
+                response = self.ask(key)
+                self.assertEqual((response.status, response.outcome), (401, "not-run"))
+                self.assertEqual(response.headers["www-authenticate"], "Token")
         other = self.call("GET", "/items", headers={"Authorization": f"Basic {SECRET}"})
         self.assertEqual(other.status, 401)
         self.assertEqual(self.ran, [])
@@ -100,7 +100,7 @@
         self.assertEqual(self.get_last().headers["x-organisation"], "acme")
 
     def test_keys_come_and_go_with_the_configuration(self) -> None:
-        """Guards against keys that are served after they were taken away, or to their old owner."""
+        """Guards against serving keys after their removal, or for their previous owner."""
         moved = Organisation(BERG.name, ACME.keys)
         self.keyed.book = OrganisationBook([moved])
         self.assertEqual(self.ask().status, 200)
@@ -112,14 +112,14 @@
         self.assertIn("authorization", self.get_last().headers)
 
     def test_a_request_beyond_its_quota_is_refused_at_once(self) -> None:
-        """Guards against work of one organisation that takes the others' place."""
+        """Guards against one organisation's work using the capacity of the others."""
         cases = [(QuotaVerdict.EXCEEDED, 429), (QuotaVerdict.UNKNOWN, 503)]
         for verdict, status in cases:
             with self.subTest(verdict):
                 self.quotas.verdict = verdict
-                told = self.ask()
-                self.assertEqual((told.status, told.outcome), (status, "not-run"))
-                self.assertIn("retry-after", told.headers)
+                response = self.ask()
+                self.assertEqual((response.status, response.outcome), (status, "not-run"))
+                self.assertIn("retry-after", response.headers)
         self.assertEqual(self.ask("other-key").status, 200)
         self.assertEqual([heard.headers["x-organisation"] for heard in self.ran], ["berg"])
 
@@ -140,18 +140,18 @@
                 self.assertEqual(call.find_priority(), priority)
 
     def test_a_denied_request_can_be_found_in_the_log(self) -> None:
-        """Guards against callers that are denied with nothing to tell why, and keys in the log."""
+        """Guards against denials that leave no reason in the log, and against keys in the log."""
         with capture_logs() as lines:
-            told = self.ask(f"{SECRET}x")
+            response = self.ask(f"{SECRET}x")
             self.keyed.current = False
             self.ask(f"{SECRET}x")
         denials = [line for line in lines if line["event"] == "request-unidentified"]
         self.assertEqual([line["status"] for line in denials], [401, 503])
-        self.assertEqual(denials[0]["request_id"], told.headers["x-request-id"])
+        self.assertEqual(denials[0]["request_id"], response.headers["x-request-id"])
         self.assertNotIn(SECRET, repr(lines))
 
     def test_no_key_is_kept_or_told(self) -> None:
-        """Guards against keys in records, metrics and errors, which many people may read."""
+        """Guards against keys in records, metrics and errors, which many people can read."""
         answers = [self.ask(), self.ask(f"{SECRET}x"), self.ask(SECRET, "/open/x")]
         shown = [repr(answer) for answer in answers]
         shown.append(repr(self.plane.explain(RequestId(answers[0].headers["x-request-id"]))))
--- a/packages/node/tests/test_caller_reader.py
+++ b/packages/node/tests/test_caller_reader.py
@@ -1,4 +1,4 @@
-"""What a caller's connection tells while one of its requests is being answered."""
+"""Tests of reading a caller's connection ahead while one of its requests is answered."""
 
 from persimmonusher_node import loop
 
@@ -38,7 +38,7 @@
         self.assertEqual(self.file.readline(), b"one two\n")
 
     def test_no_more_is_kept_than_a_few_heads(self) -> None:
-        """A caller sends and sends while its first request is in progress."""
+        """A caller keeps sending while its first request is in progress."""
         self.caller.setblocking(False)
         sent = 0
         for _ in range(100):
@@ -50,9 +50,10 @@
         self.assertEqual(self.file.read(sent), b"x" * sent)
 
     def test_an_end_made_on_this_side_is_not_taken_for_the_callers(self) -> None:
-        """A stop ends the reading of idle connections at the moment in which a lookup comes.
+        """A stop shuts down reading of an idle connection just as a lookup arrives.
 
-        The lookup is read and forwarded. Taken for one whose caller left it would be cancelled.
+        The lookup is still read and forwarded. If the shutdown were mistaken for the caller's
+        departure, the lookup would be cancelled.
         """
         self.caller.sendall(b"lookup\n")
         self.reader.shut()
--- a/packages/node/tests/test_callers_bounds.py
+++ b/packages/node/tests/test_callers_bounds.py
@@ -1,4 +1,4 @@
-"""Bad, oversized and slow requests: bounded, a clear error, nothing lost."""
+"""Malformed, oversized and slow requests: each gets a clear error and reaches no server."""
 
 import json
 import socket
@@ -85,7 +85,7 @@
         self.assertEqual(sum(server.connections for server in self.servers), 0)
 
     def test_slow_senders_are_bounded_and_others_are_served_meanwhile(self) -> None:
-        """Someone holds connections open and sends a byte now and then."""
+        """Callers send an incomplete head, body or chunk and then nothing."""
         cases = {
             "head": (GET[:20], 408),
             "body": (POST + "Content-Length: 10\r\n\r\nab", 408),
@@ -121,7 +121,7 @@
         self.assertEqual(self.call().status, 200, "idle connections make room")
 
     def test_a_body_is_asked_for_only_when_it_may_come(self) -> None:
-        """A caller that asks first (`Expect: 100-continue`) sends no body that is refused."""
+        """A body that would be refused is not requested by `100 Continue`."""
         for length, expected in ((2_000, b"413"), (2, b"100")):
             with self.subTest(length):
                 head = f"{POST}Expect: 100-continue\r\nContent-Length: {length}\r\n\r\n"
@@ -130,7 +130,7 @@
                     self.assertEqual(connection.recv(65_536).split()[1], expected)
 
     def test_answers_to_head_have_no_body(self) -> None:
-        """A body after an answer to HEAD would be read as the start of the next answer."""
+        """Callers would read a body after an answer to HEAD as the start of the next answer."""
         connection = self.connect()
         for host, status in ((HOST, 200), ("other.example", 404)):
             connection.request("HEAD", "/x", headers={"Host": host})
@@ -141,12 +141,12 @@
 
     def test_a_refusal_keeps_the_connection_where_nothing_is_left_to_read(self) -> None:
         connection = self.connect()
-        told = self.call(headers={"Host": "other.example"}, connection=connection)
-        self.assertEqual((told.status, told.headers.get("connection")), (404, None))
+        response = self.call(headers={"Host": "other.example"}, connection=connection)
+        self.assertEqual((response.status, response.headers.get("connection")), (404, None))
         self.assertEqual(self.call(connection=connection).status, 200)
 
     def test_an_instance_without_configuration_is_not_ready_and_says_not_run(self) -> None:
-        """An instance restarts; a caller must not be told that its service doesn't exist."""
+        """After a restart, callers must not get the answer that their service doesn't exist."""
         self.view.number, self.view.routes = 0, {}
         self.assertEqual(self.call().status, 503)
         self.assertIn(b"no-configuration", self.call().body)
@@ -157,22 +157,22 @@
 
     def test_hop_by_hop_headers_and_forged_ones_are_dropped(self) -> None:
         self.servers[0].default = self.servers[1].default = forged
-        told = self.call(
+        response = self.call(
             headers={"Connection": "X-Private", "X-Private": "1", "TE": "trailers", "X-Kept": "2"}
         )
         heard = self.ran[0].headers
         self.assertEqual(heard.get("x-kept"), "2")
         self.assertFalse({"x-private", "te", "keep-alive"} & heard.keys())
-        self.assertEqual(told.outcome, "ran")
-        self.assertNotIn("persimmonusher-replayed", told.headers)
-        self.assertNotIn("persimmonusher-load", told.headers)
+        self.assertEqual(response.outcome, "ran")
+        self.assertNotIn("persimmonusher-replayed", response.headers)
+        self.assertNotIn("persimmonusher-load", response.headers)
 
     def test_deadline_and_request_id_are_passed_on(self) -> None:
-        told = self.call(headers={"Persimmonusher-Deadline-Ms": "900", "X-Request-Id": "r-1"})
+        response = self.call(headers={"Persimmonusher-Deadline-Ms": "900", "X-Request-Id": "r-1"})
         heard = self.ran[0].headers
         self.assertLessEqual(int(heard["persimmonusher-deadline-ms"]), 900)
         self.assertGreater(int(heard["persimmonusher-deadline-ms"]), 500)
-        self.assertEqual((heard["x-request-id"], told.headers["x-request-id"]), ("r-1", "r-1"))
+        self.assertEqual((heard["x-request-id"], response.headers["x-request-id"]), ("r-1", "r-1"))
         self.assertTrue(self.call().headers["x-request-id"].startswith("e1-"))
         record = self.plane.explain("r-1")
         self.assertEqual([step.step for step in record.steps], ["dispatch", "outcome"])
--- a/packages/node/tests/test_departed_callers.py
+++ b/packages/node/tests/test_departed_callers.py
@@ -1,4 +1,4 @@
-"""What still happens for callers that have closed their connection."""
+"""Requests whose callers have closed their connection."""
 
 import socket
 import unittest
@@ -17,10 +17,10 @@
 )
 
 LEAVE_SECONDS = 0.15
-"""After it was sent, so that the request is at a server by then."""
+"""Delay from sending a request to leaving, so that the request is at a server by then."""
 ANSWER_SECONDS = 0.4
 UNREAD_BYTES = 100_000
-"""More than an entry reads ahead, and less than the kernel holds for it."""
+"""More than an entry reads ahead, and less than the kernel buffers for it."""
 
 
 class DepartedCallersTest(EntryTestCase):
@@ -43,13 +43,13 @@
             server.default = behaviour
 
     def wait_until_idle(self) -> None:
-        """Wait until nothing is in flight, and a moment longer for what may follow."""
+        """Wait until servers have answered and nothing is in flight."""
         eventlet.sleep(ANSWER_SECONDS + 0.2)
         while self.plane.forwarder.in_flight:
             eventlet.sleep(0.02)
 
     def count_servers_reached(self, method: str) -> int:
-        """Send a request, leave, and return how many servers got it until nothing is in flight."""
+        """Send a request, leave, and return how many servers got it before it was finished."""
         before = len(self.ran)
         self.leave(method)
         self.wait_until_idle()
@@ -63,7 +63,7 @@
                     self.set_behaviour(stall(ANSWER_SECONDS, behaviour))
                     self.assertEqual(self.count_servers_reached(method), 1)
 
-    # Guards against a departure that no periodic check has seen before the next attempt.
+    # Guards against a departure that the periodic check has not detected before the next attempt.
     def test_a_departure_is_known_at_the_moment_of_the_next_attempt(self) -> None:
         self.plane.watch.stop()
         for method in ("POST", "GET"):
@@ -79,7 +79,7 @@
                 self.wait_until_idle()
                 self.assertEqual(self.ran, [])
 
-    # Guards against a copy of a slow lookup being sent for a departed caller.
+    # Guards against a hedged copy of a slow lookup being sent for a departed caller.
     def test_no_copy_is_sent_for_a_departed_caller(self) -> None:
         update = {"hedge_after_ms": 300, "retry_budget_percent": 50, "max_retries": 1}
         profile = PROFILE.model_copy(update=update)
@@ -90,7 +90,7 @@
         self.wait_until_idle()
         self.assertEqual(len(self.ran), 1)
 
-    # Guards against departures of callers that sent more than is read ahead going unseen.
+    # Guards against not detecting the departure of a caller that sent more than is read ahead.
     def test_a_caller_that_sent_much_ahead_is_seen_to_leave(self) -> None:
         self.set_behaviour(stall(ANSWER_SECONDS, SHED))
         head = f"POST /x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 0\r\n\r\n"
@@ -105,8 +105,8 @@
         self.wait_until_idle()
         self.assertEqual(len(self.ran), 1)
         self.set_behaviour(answer(b"lodged"))
-        told = self.call("POST", "/x", headers={"Idempotency-Key": "k1"})
-        self.assertEqual((told.status, told.body), (200, b"lodged"))
+        response = self.call("POST", "/x", headers={"Idempotency-Key": "k1"})
+        self.assertEqual((response.status, response.body), (200, b"lodged"))
 
     # Guards against cutting off work that a server runs already.
     def test_work_that_a_server_runs_goes_on_to_its_end(self) -> None:
@@ -116,7 +116,7 @@
         self.assertEqual(len(self.ran), 1)
         self.assertEqual(self.observer.finished[-1].record.result, "ran")
 
-    # Guards against work whose outcome is unknown being told as not run.
+    # Guards against work whose outcome is unknown being recorded as not run.
     def test_work_that_broke_off_stays_unknown_for_a_departed_caller(self) -> None:
         self.set_behaviour(stall(ANSWER_SECONDS, send(b"")))
         self.leave("POST")
--- a/packages/node/tests/test_every_byte.py
+++ b/packages/node/tests/test_every_byte.py
@@ -1,4 +1,4 @@
-"""An exchange with a backend server, cut at each of its bytes."""
+"""Exchanges with a backend server that are cut off after each possible byte."""
 
 import socket
 import struct
@@ -32,9 +32,9 @@
     profile = PROFILE.model_copy(update={"retry_budget_percent": 50})
 
     def test_an_entry_whose_answer_is_cut_anywhere_is_unknown_and_ran_once(self) -> None:
-        """The server runs the entry, and its answer ends early, in good order or by a reset.
+        """The server runs the request, and its answer is cut off by a close or by a reset.
 
-        Its caller must hear `unknown`, or get the whole answer; never a part, never `not run`.
+        The caller must get `unknown` or the whole answer, never a part of it and never `not run`.
         """
         (server,) = self.servers
         for raw in (WITH_LENGTH, WITHOUT_BODY, IN_CHUNKS):
@@ -43,13 +43,15 @@
                     with self.subTest(raw[17:30], cut=cut.__name__, size=size):
                         server.script[:] = [cut(raw[:size])]
                         server.ran.clear()
-                        told = self.call("POST", f"/e/{size}", raw[:size] + cut.__name__.encode())
-                        if told.status < 300:
-                            whole = b"" if told.status == 204 else BODY
-                            self.assertEqual((told.body, told.outcome), (whole, "ran"))
+                        response = self.call(
+                            "POST", f"/e/{size}", raw[:size] + cut.__name__.encode()
+                        )
+                        if response.status < 300:
+                            whole = b"" if response.status == 204 else BODY
+                            self.assertEqual((response.body, response.outcome), (whole, "ran"))
                             self.assertEqual(size, len(raw))
                         else:
-                            self.assertEqual((told.status, told.outcome), (502, "unknown"))
+                            self.assertEqual((response.status, response.outcome), (502, "unknown"))
                             self.assertTrue(size < len(raw) or cut is cut_by_reset)
                         self.assertEqual(len(server.ran), 1)
 
@@ -61,24 +63,24 @@
             for size in range(len(raw)):
                 with self.subTest(raw[17:30], size=size):
                     self.servers[0].default = send(raw[:size])
-                    told = self.call(target=f"/l/{raw[17]}/{size}")
-                    if told.status == 200:
+                    response = self.call(target=f"/l/{raw[17]}/{size}")
+                    if response.status == 200:
                         whole += 1
-                        self.assertEqual((told.body, told.outcome), (BODY, "ran"))
+                        self.assertEqual((response.body, response.outcome), (BODY, "ran"))
                     else:
-                        self.assertEqual((told.status, told.outcome), (502, "unknown"))
+                        self.assertEqual((response.status, response.outcome), (502, "unknown"))
         self.assertGreater(whole, 90, "most are answered by the other server")
 
     def test_a_request_cut_anywhere_is_unknown_once_a_byte_has_left(self) -> None:
-        """The server's machine resets the connection when some bytes of the entry have arrived."""
+        """The server resets the connection after some bytes of the request have arrived."""
         (server,) = self.servers
         for size in range(1, 200, 7):
             with self.subTest(size=size):
                 server.ran.clear()
                 server.cut_in_request = 1
                 server.cut_after = size
-                told = self.call("POST", f"/c/{size}", b"x" * 40)
-                self.assertEqual((told.status, told.outcome), (502, "unknown"))
+                response = self.call("POST", f"/c/{size}", b"x" * 40)
+                self.assertEqual((response.status, response.outcome), (502, "unknown"))
                 self.assertEqual(server.ran, [])
 
 
--- a/packages/node/tests/test_evidence_fleet.py
+++ b/packages/node/tests/test_evidence_fleet.py
@@ -40,8 +40,8 @@
 NAMES = [InstanceId(f"i{number}") for number in range(4)]
 SERVERS = [ServerId(f"shows-{number}") for number in range(6)]
 GRAY = SERVERS[2]
-BATCH = 22
-"""Requests in flight at once at each instance, of 24 slots in all."""
+BATCH_REQUESTS = 22
+"""Requests in flight at once at each instance, out of 24 slots in total."""
 
 
 def make_server(server_id: ServerId) -> BackendServer:
@@ -59,7 +59,7 @@
 
 
 class Node:
-    """One instance's service book and evidence exchange with a gRPC listener of its own."""
+    """One instance's service book and evidence exchange, with its own gRPC listener."""
 
     def __init__(self, instance: Instance, instances: list[Instance]) -> None:
         clock = SystemClock()
@@ -97,11 +97,11 @@
         self.channels.__exit__(None, None, None)
 
     def run_batch(self) -> None:
-        """Run lookups side by side, so many that a server in doubt is needed too."""
+        """Run concurrent lookups, enough that a suspected server is used as well."""
         live = self.services.get(SERVICE)
         assert live is not None
         now = SystemClock().monotonic()
-        offered = [live.traffic.offer(self.make_request(now), now) for _ in range(BATCH)]
+        offered = [live.traffic.offer(self.make_request(now), now) for _ in range(BATCH_REQUESTS)]
         for decision in offered:
             if not isinstance(decision, Dispatch):
                 continue
@@ -121,7 +121,7 @@
             fingerprint=str(self.runs),
         )
 
-    def lists_gray_as_out(self) -> bool:
+    def lists_gray_as_excluded(self) -> bool:
         live = self.services.get(SERVICE)
         assert live is not None
         statuses = live.traffic.describe(SystemClock().monotonic())
@@ -137,9 +137,9 @@
         self.nodes = {one.instance_id: Node(one, self.instances) for one in self.instances}
         self.addCleanup(lambda: [node.stop() for node in self.nodes.values()])
 
-    def run_until_out(self, nodes: list[Node], seconds: float) -> None:
+    def run_until_excluded(self, nodes: list[Node], seconds: float) -> None:
         with eventlet.Timeout(seconds):
-            while not all(node.lists_gray_as_out() for node in nodes):
+            while not all(node.lists_gray_as_excluded() for node in nodes):
                 for node in nodes:
                     node.run_batch()
                 eventlet.sleep(0.03)
@@ -150,30 +150,30 @@
 
     def test_evidence_of_some_keeps_all_from_a_gray_server(self) -> None:
         # Three instances see a server fail; the fourth has sent it nothing yet. All four must
-        # keep work from it, since the fourth's first breeder would get an error.
+        # exclude it, since otherwise the fourth's first caller would get an error.
         idle = self.nodes[NAMES[3]]
         idle.services.get(SERVICE)
         working = [self.nodes[name] for name in NAMES[:3]]
-        self.run_until_out(working, 10.0)
+        self.run_until_excluded(working, 10.0)
         with eventlet.Timeout(3.0):
-            while not idle.lists_gray_as_out():
+            while not idle.lists_gray_as_excluded():
                 eventlet.sleep(0.05)
 
     def test_the_first_request_of_a_service_meets_the_verdict(self) -> None:
-        # A request had crashed two servers and was quarantined. Its caller resent it through an
-        # instance that had no traffic for the service yet, and a third server was lost.
+        # Guards against losing a third server to a request that is quarantined after crashing two,
+        # when it is resent through an instance that had no traffic for the service before.
         working = [self.nodes[name] for name in NAMES[:3]]
-        self.run_until_out(working, 10.0)
+        self.run_until_excluded(working, 10.0)
         fresh = self.nodes[NAMES[3]]
         self.assertIsNotNone(fresh.services.find("shows", "/"))
-        self.assertTrue(fresh.lists_gray_as_out())
+        self.assertTrue(fresh.lists_gray_as_excluded())
 
     def test_the_deputy_takes_over_when_the_assessor_is_gone(self) -> None:
-        # The assessor's process is killed just before a server turns gray. Work must not go on to
-        # the gray server until someone notices: the deputy is asked at once.
+        # The assessor's process is killed just before a server turns gray. The deputy must be asked
+        # at once, so that the gray server doesn't get work until the failure is detected.
         gone = self.find_assessor()
         self.nodes.pop(gone).stop()
-        self.run_until_out(list(self.nodes.values()), 15.0)
+        self.run_until_excluded(list(self.nodes.values()), 15.0)
 
 
 if __name__ == "__main__":
--- a/packages/node/tests/test_keyed.py
+++ b/packages/node/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an Idempotency-Key, towards the caller."""
+"""Requests with an Idempotency-Key: the answers that callers get."""
 
 import unittest
 from dataclasses import dataclass
@@ -44,7 +44,7 @@
         self.assertEqual(len(self.ran), 1)
 
     def test_a_failure_that_ran_is_kept_as_well(self) -> None:
-        """A server answers 500 after it may have charged the fee: a resend must not run again."""
+        """A server answers 500 but may have had effects: a resend must not run again."""
         self.script(answer(b"oh", "500 No"))
         self.assertEqual([self.lodge().status, self.lodge().status], [500, 500])
         self.assertEqual(len(self.ran), 1)
@@ -56,10 +56,10 @@
         self.assertEqual((self.lodge().status, len(self.ran)), (200, 1))
 
     def test_an_unknown_outcome_is_never_run_again(self) -> None:
-        """The server broke after the last byte; the family resends, and must not be charged twice.
+        """The connection breaks after the last byte of the request, and the caller resends it.
 
-        The resend is told that the outcome is unknown, at once and without Retry-After: waiting
-        won't settle it, a lookup will.
+        It must not run twice. The resend is answered `unknown` at once and without Retry-After: the
+        outcome can be found by a lookup, not by waiting.
         """
         self.script(send(b""))
         self.assertEqual(self.lodge().outcome, "unknown")
@@ -88,9 +88,9 @@
         for case in CLAIMED:
             with self.subTest(case.status):
                 self.claims.claim = lambda *_, s=case.status: ClaimResult(s)  # type: ignore[method-assign]
-                told = self.lodge()
-                self.assertEqual((told.status, told.outcome), (case.http, case.outcome))
-                self.assertIn(case.code.encode(), told.body)
+                response = self.lodge()
+                self.assertEqual((response.status, response.outcome), (case.http, case.outcome))
+                self.assertIn(case.code.encode(), response.body)
         self.assertEqual(self.ran, [])
 
     def test_an_error_of_the_claims_is_no_quorum(self) -> None:
@@ -102,8 +102,8 @@
 
     def test_an_idempotent_request_needs_no_claim(self) -> None:
         for _ in range(2):
-            told = self.call("POST", "/search", b"q", {"Idempotency-Key": "k"})
-            self.assertNotIn("persimmonusher-replayed", told.headers)
+            response = self.call("POST", "/search", b"q", {"Idempotency-Key": "k"})
+            self.assertNotIn("persimmonusher-replayed", response.headers)
         self.assertEqual(len(self.ran), 2)
 
 
@@ -111,8 +111,8 @@
     profile = PROFILE.model_copy(update={"key_required": True})
 
     def test_without_a_key_nothing_is_run(self) -> None:
-        told = self.call("POST", body=b"entry")
-        self.assertEqual((told.status, told.outcome, self.ran), (400, "not-run", []))
+        response = self.call("POST", body=b"entry")
+        self.assertEqual((response.status, response.outcome, self.ran), (400, "not-run", []))
         self.assertEqual(self.call().status, 200, "lookups need none")
 
 
--- a/packages/node/tests/test_listener_limits.py
+++ b/packages/node/tests/test_listener_limits.py
@@ -1,4 +1,4 @@
-"""What a routing document says of callers, in force at an entry's listener."""
+"""The caller limits of a routing document, applied to an entry's listener."""
 
 import socket
 import time
--- a/packages/node/tests/test_refused_once.py
+++ b/packages/node/tests/test_refused_once.py
@@ -1,4 +1,4 @@
-"""A backend server that refused one request, before callers that come one after the other."""
+"""A backend server that refused one request, with callers that come one at a time."""
 
 import unittest
 from unittest.mock import patch
@@ -7,22 +7,22 @@
 
 from persimmonusher_decisions import placement
 
-MEMORY_SECONDS = 0.2
-"""In place of the usual memory of a penalty, which the test would have to wait for."""
-WELL = stall(0.01, answer())
+PENALTY_SECONDS = 0.2
+"""Replaces the usual memory of a penalty, so that the test need not wait for that."""
+SUCCESS = stall(0.01, answer())
 
 
 class RefusedOnceTest(EntryTestCase):
     profile = PROFILE.model_copy(update={"max_retries": 1, "retry_budget_percent": 50})
     server_names = ("s1", "s2", "s3")
 
-    # Guards against a server that refused once getting nothing while the others are idle.
+    # Guards against a server that refused once getting no requests while the others are idle.
     def test_a_server_gets_its_share_again(self) -> None:
         for server in self.servers:
-            server.default = WELL
+            server.default = SUCCESS
         refusing = self.servers[0]
         refusing.script.append(SHED)
-        with patch.object(placement, "PENALTY_MEMORY_SECONDS", MEMORY_SECONDS):
+        with patch.object(placement, "PENALTY_MEMORY_SECONDS", PENALTY_SECONDS):
             for _ in range(200):
                 self.call()
             before = len(refusing.ran)
--- a/packages/node/tests/test_route_table.py
+++ b/packages/node/tests/test_route_table.py
@@ -38,7 +38,7 @@
         self.assertIsNone(self.table.find("other", "/q"))
 
     def test_a_path_of_slashes_costs_no_more_than_a_short_one(self) -> None:
-        """A caller sends a path of a hundred thousand slashes; other callers must not wait."""
+        """A path of a hundred thousand slashes must not delay other callers."""
         started = time.perf_counter()
         self.table.find("shop.example", "/" * 100_000)
         self.assertLess(time.perf_counter() - started, 0.05)
--- a/packages/node/tests/test_rules.py
+++ b/packages/node/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Requests by the rules of a routing document, through the data plane."""
+"""Requests through the data plane by the rules of a routing document."""
 
 import time
 
@@ -17,18 +17,18 @@
 
 
 class RuledConfiguration(MemoryConfiguration):
-    """A configuration with one rule, which may be out of touch with the keepers."""
+    """A configuration with one rule; `current` is False while it is cut off from the keepers."""
 
     rule: RouteRule | None = None
     current = True
 
     def find_rule(self, host: str, path: str) -> RouteRule | None:
-        """Return the rule for every path under its prefix."""
+        """Return the rule for paths that start with its prefix."""
         rule = self.rule
         return rule if rule is not None and path.startswith(rule.prefix) else None
 
     def is_current(self) -> bool:
-        """Return what the test set."""
+        """Return the value that the test has set."""
         return self.current
 
 
@@ -49,38 +49,38 @@
         )
 
     def test_the_rule_says_what_may_run_again_whatever_the_method(self) -> None:
-        """A route's lookups come by POST, and its entries by GET."""
+        """The rule overrides the method: a POST may be idempotent, and a GET not."""
         cases = [("POST", True, 2, 2), ("POST", True, 1, 1), ("GET", False, 2, 1)]
         for method, idempotent, attempts, ran in cases:
             with self.subTest(method=method, attempts=attempts):
                 self.set_rule(idempotent, attempts)
                 self.script(FAIL)
                 before = len(self.ran)
-                told = self.call(method, "/ruled/x", b"body")
+                response = self.call(method, "/ruled/x", b"body")
                 self.assertEqual(len(self.ran) - before, ran)
-                self.assertEqual(told.status, 500 if ran == attempts or not idempotent else 200)
+                self.assertEqual(response.status, 500 if ran == attempts or not idempotent else 200)
 
     def test_the_caller_has_its_answer_by_the_routes_timeout(self) -> None:
         self.set_rule(True, timeout_ms=300)
         self.script(stall(2.0, answer()))
         started = time.monotonic()
-        told = self.call(target="/ruled/x", headers={"X-Left": "5000"})
+        response = self.call(target="/ruled/x", headers={"X-Left": "5000"})
         self.assertLess(time.monotonic() - started, 0.8)
-        self.assertEqual((told.status, told.outcome), (504, "unknown"))
+        self.assertEqual((response.status, response.outcome), (504, "unknown"))
         self.assertLessEqual(int(self.ran[0].headers["x-left"]), 300)
 
     def test_a_server_that_took_the_address_of_another_runs_nothing(self) -> None:
-        """A server ends without a word, and its address goes to one of another service.
+        """A server ends without notice, and a server of another service gets its address.
 
-        The request names the server that it is for. The other one refuses it, so that even an entry
-        may go to the next server, and the address gets no more work.
+        The request names the server that it is for, so the other one refuses it. Even a
+        non-idempotent request may then go to the next server, and the address gets no more work.
         """
         self.set_rule(False)
         first = self.servers[0]
         first.default = MISDIRECTED
         for _ in range(6):
-            told = self.call("POST", "/ruled/x", b"e")
-            self.assertEqual((told.status, told.outcome), (200, "ran"))
+            response = self.call("POST", "/ruled/x", b"e")
+            self.assertEqual((response.status, response.outcome), (200, "ran"))
         named = {heard.headers["x-server"] for heard in self.servers[1].ran}
         self.assertEqual(named, {"s2"})
         self.assertLessEqual(len(first.ran), 1)
@@ -89,22 +89,22 @@
         self.set_rule(False)
         for server in self.servers:
             server.default = SHED
-        told = self.call("POST", "/ruled/x", b"e")
-        self.assertEqual((told.status, told.outcome), (503, "not-run"))
-        self.assertIn("retry-after", told.headers)
+        response = self.call("POST", "/ruled/x", b"e")
+        self.assertEqual((response.status, response.outcome), (503, "not-run"))
+        self.assertIn("retry-after", response.headers)
 
     def test_an_entry_out_of_touch_denies_no_route(self) -> None:
         """An entry is cut off from the keepers while an operator adds a route.
 
-        Its callers would be told that there is no such route, and would not ask again.
+        An answer that there is no such route would be wrong, and callers would not retry.
         """
         self.assertEqual(self.call(headers={"Host": "other.example"}).status, 404)
         self.ruled.current = False
-        told = self.call(headers={"Host": "other.example"})
-        self.assertEqual((told.status, told.outcome), (503, "not-run"))
+        response = self.call(headers={"Host": "other.example"})
+        self.assertEqual((response.status, response.outcome), (503, "not-run"))
 
     def test_a_request_waits_a_moment_for_the_first_configuration(self) -> None:
-        """All instances were killed at once, and callers come back before the keepers lead."""
+        """After all instances were killed, callers return before the keepers have a leader."""
         routes, self.ruled.routes, self.ruled.number = self.ruled.routes, {}, Revision(0)
         refused = self.call()
         self.assertEqual((refused.status, refused.outcome), (503, "not-run"))
--- a/packages/node/tests/test_whole_answers.py
+++ b/packages/node/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers to the right caller, over connections that are used again and again."""
+"""Whole answers to the right caller, over reused connections."""
 
 import contextlib
 import socket
@@ -26,18 +26,18 @@
 
 
 def echo(connection, heard) -> bool:  # type: ignore[no-untyped-def]
-    """Answer with the request's own target and id."""
+    """Answer with the request's target and id."""
     request_id = heard.headers["x-request-id"]
     return answer(heard.target.encode(), "200 OK", f"X-Request-Id: {request_id}")(connection, heard)
 
 
 def plain_echo(connection, heard) -> bool:  # type: ignore[no-untyped-def]
-    """Answer with the request's own target only."""
+    """Answer with the request's target only."""
     return answer(heard.target.encode())(connection, heard)
 
 
 def echo_twice(connection, heard) -> bool:  # type: ignore[no-untyped-def]
-    """Answer, and send the same answer once more a little later."""
+    """Answer, and send the same answer again a little later."""
 
     def again() -> None:
         with contextlib.suppress(OSError):
@@ -48,7 +48,7 @@
 
 
 def unframed(body: bytes, reset: bool) -> Behaviour:
-    """Answer without a length; end the connection, in good order or by a reset."""
+    """Answer without a length; end the connection by a close or by a reset."""
 
     def act(connection: socket.socket, heard: Heard) -> bool:
         request_id = heard.headers["x-request-id"].encode()
@@ -67,42 +67,42 @@
     dialect = Dialect(accepts_unframed=True)
 
     def test_an_answer_that_was_reset_on_the_way_is_not_taken_for_whole(self) -> None:
-        """A server sends answers that end with their connection, and crashes in the middle of one.
+        """A server crashes in the middle of an answer that ends with its connection.
 
-        Its system resets the connection. Eventlet's sockets report a reset as an end in good order,
-        so that half a ranking would pass for the whole of it, with a length that fits.
+        Its kernel resets the connection. Eventlet's sockets report a reset as a normal end of
+        stream, so that a part of the answer would look like the whole of it.
         """
         for size in (10, 10_000, 2_000_000):
             with self.subTest(size):
                 self.servers[0].default = unframed(b"x" * size, reset=False)
-                told = self.call()
-                self.assertEqual((told.status, len(told.body)), (200, size))
+                response = self.call()
+                self.assertEqual((response.status, len(response.body)), (200, size))
                 self.servers[0].default = unframed(b"x" * size, reset=True)
                 with contextlib.suppress(HTTPException, OSError):
-                    told = self.call("POST")
-                    self.assertEqual((told.status, told.outcome), (502, "unknown"))
+                    response = self.call("POST")
+                    self.assertEqual((response.status, response.outcome), (502, "unknown"))
 
 
 class RightCallerTest(EntryTestCase):
     server_names = ("s1",)
 
     def test_doubled_answers_never_reach_the_next_request(self) -> None:
-        """A family would see another family's ranking.
+        """Guards against a caller getting the answer to another caller's request.
 
-        The server answers a request twice. The second copy arrives on the kept connection, before
-        or after the next request was written there, and would be taken for its answer.
+        The server answers a request twice. The second copy arrives on the pooled connection, before
+        or after the next request is written there, and would be read as the answer to that one.
         """
         for pause in (0.0, 0.01, 0.02, 0.05):
             with self.subTest(pause=pause):
                 self.servers[0].default = echo_twice
                 for number in range(8):
-                    told = self.call(target=f"/rank/{pause}/{number}")
+                    response = self.call(target=f"/rank/{pause}/{number}")
                     eventlet.sleep(pause)
-                    if told.status == 200:
-                        self.assertEqual(told.body.decode(), f"/rank/{pause}/{number}")
+                    if response.status == 200:
+                        self.assertEqual(response.body.decode(), f"/rank/{pause}/{number}")
 
     def test_an_answer_that_came_after_its_deadline_is_not_given_to_the_next(self) -> None:
-        """A slow answer arrives after its caller was told of a timeout."""
+        """An answer arrives after its caller got a time-out."""
         self.servers[0].default = echo
         self.script(stall(0.2, echo))
         late = self.call(target="/late", headers={"Persimmonusher-Deadline-Ms": "100"})
@@ -113,7 +113,7 @@
         self.assertEqual(self.call(target="/third").body, b"/third")
 
     def test_a_connection_that_owes_an_answer_is_never_used_again(self) -> None:
-        """As above, but the server echoes no id and the next request comes before the answer."""
+        """As above, but the server echoes no id and the next request precedes the late answer."""
         self.servers[0].default = plain_echo
         self.script(stall(0.3, plain_echo))
         headers = {"Persimmonusher-Deadline-Ms": "100"}
@@ -122,21 +122,21 @@
             self.assertEqual(self.call(target=f"/{number}").body, b"/%d" % number)
 
     def test_many_callers_at_once_each_get_their_own_answer(self) -> None:
-        """Answers come out of order: each server answers later requests sooner."""
+        """Answers come out of order: the server answers later requests sooner."""
         self.servers[0].script[:] = [stall(0.002 * (40 - n), echo) for n in range(40)]
         threads = [eventlet.spawn(self.call, "GET", f"/many/{n}") for n in range(40)]
         for number, thread in enumerate(threads):
-            told: Told = thread.wait()
-            if told.status == 200:
-                self.assertEqual(told.body.decode(), f"/many/{number}")
+            response: Told = thread.wait()
+            if response.status == 200:
+                self.assertEqual(response.body.decode(), f"/many/{number}")
             else:
-                self.assertEqual(told.outcome, "not-run")
+                self.assertEqual(response.outcome, "not-run")
 
     def test_a_kept_connection_that_the_server_closed_costs_no_request(self) -> None:
-        """The server closes idle connections just after its answer, without saying so.
+        """The server closes connections just after its answer, without announcing it.
 
-        A request written to such a connection would be lost: for an entry that is a wrong
-        `unknown`, and so no entry may be written to it.
+        A request written to such a connection would be lost, and a non-idempotent one answered
+        `unknown` without need, so no request may be written to it.
         """
         for _ in range(5):
             self.script(answer(b"bye", close=True))
@@ -161,10 +161,10 @@
         self.assertLess(received.index(b"\r\n\r\n/1"), received.index(b"\r\n\r\n/2"))
 
     def test_requests_sent_ahead_by_a_caller_that_left_are_not_run(self) -> None:
-        """A phone sends two lookups more before the first is answered, and loses its connection.
+        """A caller sends two more lookups before the first is answered, and then disconnects.
 
-        The end of a connection shows only behind the bytes that came before it. A server would
-        work on both for nobody, long after the caller left.
+        The end of a connection is visible only after all earlier bytes are read. Without reading
+        ahead, servers would run both lookups long after the caller left.
         """
         self.script(*[stall(0.3, plain_echo)] * 3)
         request = f"GET /%d HTTP/1.1\r\nHost: {HOST}\r\n\r\n"
@@ -178,11 +178,11 @@
         self.assertIn("caller-left", self.observer.finished[-1].record.result)
 
     def test_a_request_behind_the_last_answer_does_not_cut_that_answer_off(self) -> None:
-        """An instance stops while a caller has sent its next lookup behind the one in progress.
+        """An instance stops after a caller has sent its next lookup behind the one in progress.
 
-        The answer in progress closes the connection, and the lookup behind it was not read: the
-        caller sends it again elsewhere. Closed with bytes unread, the kernel would send a reset
-        that overtakes the answer.
+        The answer in progress closes the connection, and the unread lookup is for the caller to
+        send again elsewhere. If the connection were closed with unread bytes, the kernel would send
+        a reset that overtakes the answer.
         """
         self.script(answer(b"first" * 400_000), echo)
         request = f"GET /%d HTTP/1.1\r\nHost: {HOST}\r\n\r\n"
@@ -200,17 +200,17 @@
         self.assertEqual([heard.target for heard in self.ran], ["/1"])
 
     def test_a_caller_that_left_gets_its_entry_stored_and_its_lookup_cancelled(self) -> None:
-        """A breeder's phone loses its connection while the entry is being lodged.
+        """A caller loses its connection while its request is running.
 
-        The entry must run to its end and its outcome must wait for the resend. A lookup that
-        nobody waits for is cancelled, so that the server can stop it.
+        A non-idempotent request must run to its end, and its outcome must be kept for the resend. A
+        lookup is cancelled, so that the server can stop working on it.
         """
         self.script(stall(0.3, answer(b"lodged")))
         self.leave("POST", "Idempotency-Key: k1\r\n")
         eventlet.sleep(0.4)
-        told = self.call("POST", "/x", headers={"Idempotency-Key": "k1"})
-        self.assertEqual((told.status, told.body), (200, b"lodged"))
-        self.assertEqual(told.headers["persimmonusher-replayed"], "true")
+        response = self.call("POST", "/x", headers={"Idempotency-Key": "k1"})
+        self.assertEqual((response.status, response.body), (200, b"lodged"))
+        self.assertEqual(response.headers["persimmonusher-replayed"], "true")
         self.assertEqual(len(self.ran), 1)
 
         self.script(stall(1.0, answer()))
@@ -242,15 +242,15 @@
         for name, behaviour in framings.items():
             with self.subTest(name):
                 self.script(behaviour)
-                told = self.call()
-                self.assertEqual((told.status, told.body == body), (200, True))
+                response = self.call()
+                self.assertEqual((response.status, response.body == body), (200, True))
         eventlet.sleep(0.05)
         self.assertEqual(self.plane.forwarder.in_flight, 0)
 
     def test_a_long_answer_that_is_cut_off_is_cut_off_towards_the_caller(self) -> None:
-        """The head and a part are already with the caller when the server breaks off.
+        """The server breaks off after the head and a part of the answer were passed on.
 
-        No error can be told any more, so the caller must see that the answer is not whole.
+        An error answer is not possible any more, so a reset must show that the answer is not whole.
         """
         half = b"x" * 20_000
         framings = {
@@ -283,11 +283,11 @@
     )
 
     def test_a_slow_lookup_is_answered_by_a_second_copy(self) -> None:
-        """One server hangs on a lookup; the caller gets the other server's answer, once."""
+        """One server hangs on a lookup; the caller gets the other server's answer."""
         for server in self.servers:
             server.script[:] = [stall(1.0, answer(b"slow"))]
-            told = self.call(target=f"/h/{server.name}")
-            self.assertEqual((told.status, told.body), (200, b"ok"))
+            response = self.call(target=f"/h/{server.name}")
+            self.assertEqual((response.status, response.body), (200, b"ok"))
             server.script.clear()
         eventlet.sleep(0.05)
         self.assertEqual(self.plane.forwarder.in_flight, 0)
@@ -295,7 +295,7 @@
         self.assertEqual([status.outstanding for status in statuses], [0, 0])
 
     def test_a_copy_counts_as_an_attempt_whichever_fails_last(self) -> None:
-        """Two servers may have a lookup, and the copy fails before the original does."""
+        """A lookup is sent to two servers, and the copy fails before the original."""
         failed = answer(b"", "500 Failed")
         delays = [0.15]
 
@@ -319,8 +319,8 @@
         shed = answer(b"", "503 Busy", "Persimmonusher-Not-Run: shed")
         for server in self.servers:
             server.script[:] = [stall(0.1, send(b"")), shed, shed, shed]
-        told = self.call()
-        self.assertEqual(told.outcome, "unknown")
+        response = self.call()
+        self.assertEqual(response.outcome, "unknown")
 
 
 if __name__ == "__main__":
