--- a/packages/node/src/persimmonusher_node/announcements.py
+++ b/packages/node/src/persimmonusher_node/announcements.py
@@ -17,7 +17,7 @@
 
 ANNOUNCE_PATH: Final = "/announce"
 MAX_ANNOUNCEMENT_BYTES: Final = 16_384
-"""An announcement has a few hundred."""
+"""An announcement has a few hundred bytes."""
 BODY_TIMEOUT_SECONDS: Final = 5.0
 ANNOUNCEMENTS_PER_TIMEOUT: Final = 3
 """Two announcements in a row may be lost before the server is considered lost."""
@@ -77,7 +77,7 @@
 
 
 class AnnouncementsApplication:
-    """Answers backend servers."""
+    """The WSGI application that answers the announcements of backend servers."""
 
     def __init__(self, directory: ServerDirectory, heartbeat_timeout: float) -> None:
         self._directory = directory
--- a/packages/node/src/persimmonusher_node/answers.py
+++ b/packages/node/src/persimmonusher_node/answers.py
@@ -60,7 +60,7 @@
     status: int
     outcome: CallerOutcome
     retry_after: float | None = None
-    """Seconds; every `not run` has one."""
+    """Seconds; set in every form whose outcome is `not run`."""
 
 
 _NOT_RUN: Final = CallerOutcome.NOT_RUN
--- a/packages/node/src/persimmonusher_node/assessors.py
+++ b/packages/node/src/persimmonusher_node/assessors.py
@@ -1,4 +1,4 @@
-"""The assessors that this instance runs: one for each service that others report to it."""
+"""The assessors that this instance runs: one for each service reported to it."""
 
 from collections.abc import Callable
 from typing import Final
--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -240,7 +240,10 @@
 
 
 def choose_event(notice: Notice, excluded_seconds: float) -> str:
-    """Return the log event for a failure or recovery; 0 seconds means still in use."""
+    """Return the log event for a failure or recovery.
+
+    `excluded_seconds` is 0 if the server still gets first attempts.
+    """
     if notice.kind is NoticeKind.RECOVERED:
         return "server-recovered"
     return "server-passed-by" if excluded_seconds else "server-doubted"
--- a/packages/node/src/persimmonusher_node/connections.py
+++ b/packages/node/src/persimmonusher_node/connections.py
@@ -17,13 +17,13 @@
 packet, which is resent only after a second, or its host is gone; waiting much longer would make the
 answer from the next server late."""
 IDLE_TIMEOUT_SECONDS: Final = 4.0
-"""Backend servers must keep an idle connection open for longer (interfaces page: at least 5 s)."""
+"""Backend servers must keep idle connections longer: 5 s or more (docs/reference/interfaces.md)."""
 NON_IDEMPOTENT_IDLE_SECONDS: Final = 1.0
 """Longest idle time of a connection that may still carry a non-idempotent request."""
 MAX_IDLE_CONNECTIONS: Final = 32
 """Per backend server; more would occupy connections that other entries need."""
 POOL_RETENTION_SECONDS: Final = 700.0
-"""Longer than the longest deadline, so that no attempt that uses the pool is still in flight."""
+"""Longer than the longest deadline: no attempt from before is still in flight."""
 
 
 class ResetAwareReader(io.RawIOBase):
@@ -116,7 +116,7 @@
         self._port = int(port)
         self._clock = clock
         self._idle: deque[ServerConnection] = deque()
-        self.used = clock.monotonic()
+        self.last_used = clock.monotonic()
 
     def acquire(self, idempotent: bool) -> ServerConnection | None:
         """Return an idle connection that is safe for the request, or None."""
@@ -151,7 +151,7 @@
         If a pool were dropped while its only connection is in use, that connection would be
         released to the dropped pool and never closed.
         """
-        return not self._idle and self._clock.monotonic() - self.used > POOL_RETENTION_SECONDS
+        return not self._idle and self._clock.monotonic() - self.last_used > POOL_RETENTION_SECONDS
 
     def expire(self) -> None:
         """Close the connections that have been idle for too long."""
--- a/packages/node/src/persimmonusher_node/evidence.py
+++ b/packages/node/src/persimmonusher_node/evidence.py
@@ -70,7 +70,7 @@
         self._last_asked: dict[ServiceName, float] = {}
         self._avoided: dict[InstanceId, float] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
-        services.open_with(self.open_service)
+        services.set_opener(self.open_service)
 
     def list_peer_handlers(self) -> tuple[IServable, ...]:
         """List the evidence service."""
--- a/packages/node/src/persimmonusher_node/headers.py
+++ b/packages/node/src/persimmonusher_node/headers.py
@@ -47,7 +47,7 @@
 
 
 class NotRunReason(Enum):
-    """Why a backend server says, with status 503, that it did not run the request."""
+    """Why a backend server did not run the request, in an answer with status 400, 429 or 503."""
 
     SHED = "shed"
     DRAINING = "draining"
--- a/packages/node/src/persimmonusher_node/protocol.py
+++ b/packages/node/src/persimmonusher_node/protocol.py
@@ -54,12 +54,12 @@
     rfile: BufferedReader
 
     _head_timer: eventlet.Timeout | None = None
-    answered = False
+    has_had_request = False
     """Whether a request on this connection was accepted before."""
     closes_after_answer = False
     """Whether an answer closes the connection because of a stop, unasked by the caller."""
-    resetting = False
-    unread = False
+    is_resetting = False
+    has_unread_bytes = False
     """Whether a part of the request stays unread, so that the connection can't be used again."""
 
     def setup(self) -> None:
@@ -88,7 +88,7 @@
     def get_environ(self) -> dict[str, Any]:
         """Make the WSGI environment; called once the head is read."""
         self._stop_head_timer()
-        self.answered = True
+        self.has_had_request = True
         if self.server.draining and not self.close_connection:
             self.close_connection = 1
             self.closes_after_answer = True
@@ -114,7 +114,7 @@
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
         """Answer a request that could not be read, as JSON, and close the connection."""
         self.close_connection = 1
-        self.unread = True
+        self.has_unread_bytes = True
         status = HTTPStatus(code)
         kind = "slow-request" if status is HTTPStatus.REQUEST_TIMEOUT else "bad-request"
         document = {"code": kind, "message": message or status.phrase, "outcome": "not-run"}
@@ -131,7 +131,7 @@
     def close_unread(self) -> None:
         """Close the connection after this answer, as the rest of the request stays unread."""
         self.close_connection = 1
-        self.unread = True
+        self.has_unread_bytes = True
 
     def cut_off(self) -> None:
         """End the connection with a reset, as the rest of the answer is not available.
@@ -140,7 +140,7 @@
         reset shows every caller that the answer is not whole.
         """
         self.close_connection = 1
-        self.resetting = True
+        self.is_resetting = True
 
     def finish(self) -> None:
         """End the connection; first read a limited amount of unread bytes, to avoid a reset.
@@ -148,14 +148,16 @@
         Closing with unread bytes makes the kernel send a reset, which may overtake the last answer.
         This also happens when the caller sent its next request before it saw `Connection: close`.
         """
-        if self.resetting:
+        if self.is_resetting:
             self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             # The kernel's socket is closed only once all three objects that hold it are closed.
             for holder in (self.wfile, self.rfile, self.connection):
                 with suppress(OSError):
                     holder.close()
             return
-        if self.unread or (self.closes_after_answer and not self.reader.has_caller_left()):
+        if self.has_unread_bytes or (
+            self.closes_after_answer and not self.reader.has_caller_left()
+        ):
             self._linger()
         super().finish()
 
@@ -171,7 +173,7 @@
             return
 
     def _wait_for_bytes(self) -> bytes:
-        if self.answered and self.reader.has_caller_left():
+        if self.has_had_request and self.reader.has_caller_left():
             # Requests that it sent ahead are not run, as nothing would read their answers.
             return b""
         self.connection.settimeout(self._find_idle_seconds())
--- a/packages/node/src/persimmonusher_node/services.py
+++ b/packages/node/src/persimmonusher_node/services.py
@@ -37,7 +37,7 @@
         self.servers_version = -1
         self.opened: Event | None = None
         """Sent once the assessor's first verdict is in force, or could not be had."""
-        self.used = now
+        self.last_used = now
         self.in_flight = 0
 
 
@@ -84,7 +84,7 @@
         return self._view.revision()
 
     def is_configured(self) -> bool:
-        """Return whether this instance has a configuration."""
+        """Return whether there is a configuration to answer callers by."""
         return self._view.is_configured()
 
     def is_current(self) -> bool:
@@ -100,7 +100,7 @@
         """Return the organisations in force; None where requests carry no API keys."""
         return self._view.organisations
 
-    def open_with(self, open_service: Callable[[LiveService], None]) -> None:
+    def set_opener(self, open_service: Callable[[LiveService], None]) -> None:
         """Set a function, which may block, that is called before a service's first request."""
         self._open_service = open_service
 
@@ -147,7 +147,7 @@
         live = self._services.get(name)
         if live is None:
             live = self._make(name, profile, now)
-        live.used = now
+        live.last_used = now
         self._refresh(live, profile, now)
         return live
 
@@ -168,7 +168,7 @@
         self, live: LiveService, deliver: Callable[[LiveService, Decision], None]
     ) -> None:
         now = self._clock.monotonic()
-        if not live.in_flight and now - live.used > SERVICE_RETENTION_SECONDS:
+        if not live.in_flight and now - live.last_used > SERVICE_RETENTION_SECONDS:
             del self._services[live.name]
             return
         profile = self._view.find_profile(live.name)
--- a/packages/node/src/persimmonusher_node/upstream.py
+++ b/packages/node/src/persimmonusher_node/upstream.py
@@ -90,7 +90,7 @@
         if pool is None:
             pool = ServerPool(server.address, self._clock)
             self._pools[server.address] = pool
-        pool.used = self._clock.monotonic()
+        pool.last_used = self._clock.monotonic()
         return Attempt(
             pool,
             request,
--- a/packages/node/tests/test_failure_points.py
+++ b/packages/node/tests/test_failure_points.py
@@ -46,7 +46,7 @@
     Point("closed before Content-Length was reached", SHORT, 502, "unknown", 1),
     Point("closed in a chunk", BROKEN_CHUNK, 502, "unknown", 1),
     Point("closed before the last chunk", NO_LAST_CHUNK, 502, "unknown", 1),
-    Point("an answer whose end can't be response", UNFRAMED, 502, "unknown", 1),
+    Point("an answer whose end can't be told", UNFRAMED, 502, "unknown", 1),
     Point("an answer that is not HTTP", GARBAGE, 502, "unknown", 1),
     Point("no answer in time", SILENT, 504, "unknown", 1),
     Point("a whole answer that tells of a failure", answer(b"no", "500 No"), 500, "ran", 1),
