--- a/packages/node/src/persimmonusher_node/dialect.py
+++ b/packages/node/src/persimmonusher_node/dialect.py
@@ -37,7 +37,7 @@
     """Whether servers may send answers that end with their connection. A reset still shows that
     such an answer was cut off, but a server that dies between two writes can't be detected."""
     refuses_encoded: bool = False
-    """Whether answers with a content coding, which callers never ask for, are refused as garbled."""
+    """Whether answers with a content coding are refused as garbled; callers never ask for one."""
     retry_after_decimals: int = 0
     """Decimal places of Retry-After that callers read; the standard has whole seconds only."""
     credentials: str = "Authorization"
