--- a/packages/node/src/persimmonusher_node/claims.py
+++ b/packages/node/src/persimmonusher_node/claims.py
@@ -1,7 +1,7 @@
 """Key claims over gRPC: this instance's register, and claims at the registers of others.
 
-Answers of more than `MAX_KEPT_ANSWER_BYTES` are not kept: a resend is then told that the request
-ran and that its answer is gone, which the caller resolves by a lookup.
+Answers of more than `MAX_KEPT_ANSWER_BYTES` are not kept. The answer to a resend then says that
+the request ran and that its answer is gone; the caller resolves this by a lookup.
 """
 
 import asyncio
@@ -48,29 +48,32 @@
 log = structlog.get_logger(__name__)
 
 CALL_TIMEOUT_SECONDS: Final = 0.25
-"""Longest wait for one register: some 50 round trips today. A register that is slower counts as
-missing; the four others decide."""
-ROUNDS: Final = 4
-"""Tries for one claim. Two callers that resend at the same moment can split the votes; each gives
-its grants back and tries again after a random pause, and four tries fail together rarely."""
+"""Longest wait for one register, about 50 round trips. A slower register counts as missing, and
+the four others decide."""
+MAX_CLAIM_ROUNDS: Final = 4
+"""Rounds of voting for one claim. Two callers that resend at the same moment can split the votes.
+Each then releases its grants and starts another round after a random pause; all four rounds rarely
+fail."""
 ROUND_PAUSE_SECONDS: Final = 0.02
-"""Mean pause before another try, several times a round trip."""
-SETTLE_TRIES: Final = 5
-SETTLE_PAUSE_SECONDS: Final = 0.2
+"""Mean pause before the second round, several round trips long; it grows with each round."""
+MAX_SETTLE_ATTEMPTS: Final = 5
+SETTLE_RETRY_SECONDS: Final = 0.2
 SHARE_PAUSE_SECONDS: Final = 0.5
-"""Pause between two readings of a restarted register's share."""
+"""Interval at which a restarted register reads its peers' records and every register checks for a
+newer roster."""
 SHARE_TIMEOUT_SECONDS: Final = 5.0
 MAX_KEPT_ANSWER_BYTES: Final = 65_536
-"""Largest answer kept at the registers, five times over."""
+"""Largest answer that is kept; each is stored on all five registers of its key."""
 TOKEN_BITS: Final = 96
 """Random bits of a token; two tokens must never be equal, also over restarts."""
-MAX_GRANTS: Final = 100_000
-"""Claims of this instance that wait to be settled; more than it can have in flight."""
+MAX_UNSETTLED_GRANTS: Final = 100_000
+"""Bound on this instance's grants that are not settled yet, above the number of requests that it
+can have in flight."""
 
 
 @dataclass(frozen=True)
 class _Grant:
-    """A key that this instance holds, to settle it later."""
+    """A key granted to this instance, with what is needed to settle it later."""
 
     token: str
     digest: str
@@ -103,7 +106,7 @@
     async def ReadShare(  # noqa: N802
         self, stream: Stream[pb.ShareRequest, pb.ShareAnswer]
     ) -> None:
-        """Give a restarted register its records."""
+        """Send a restarted register the records that it shares with this one."""
         message = await stream.recv_message()
         assert message is not None
         request = wire.read_share_request(message)
@@ -113,7 +116,7 @@
     async def Describe(  # noqa: N802
         self, stream: Stream[pb.DescribeRequest, pb.RegisterState]
     ) -> None:
-        """Tell the boot and the roster of the register."""
+        """Send the boot number and the roster version of the register."""
         await stream.recv_message()
         roster = self._register.roster
         version = roster.version if roster is not None else 0
@@ -153,16 +156,16 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def list_peer_handlers(self) -> tuple[IServable, ...]:
-        """List the register's service."""
+        """Return the register's gRPC service."""
         return (RegisterService(self.register, self._clock),)
 
     def start(self) -> None:
-        """Start following the roster, and reading back what a restart lost."""
-        self._keep(start_coroutine(self._follow_roster()))
-        self._keep(start_coroutine(self._read_share()))
+        """Start to follow the roster and to read back the records that a restart lost."""
+        self._hold_task(start_coroutine(self._follow_roster()))
+        self._hold_task(start_coroutine(self._read_share()))
 
     def stop(self) -> None:
-        """End background work; what is not settled becomes unknown at the registers."""
+        """Cancel background work; unsettled claims end as unknown outcomes at the registers."""
         for task in list(self._tasks):
             task.cancel()
         for link in self._links.values():
@@ -179,9 +182,9 @@
         return run_coroutine(self._claim(key, fingerprint, window_seconds, pending_seconds))
 
     def finish(self, key: ClaimKey, answer: StoredAnswer) -> None:
-        """Keep the answer, in the background: the caller needn't wait for it.
+        """Store the answer at the registers in the background, so that the caller needn't wait.
 
-        Should this instance crash before, a resend is told that the outcome is unknown.
+        If this instance crashes first, the answer to a resend says that the outcome is unknown.
         """
         encoded = wire.encode_answer(answer)
         if len(encoded) > MAX_KEPT_ANSWER_BYTES:
@@ -189,11 +192,11 @@
         self._settle(key, RecordState.FINISHED, encoded)
 
     def release(self, key: ClaimKey) -> None:
-        """Give the key back, in the background."""
+        """Release the key at the registers in the background."""
         self._settle(key, None)
 
     def give_up(self, key: ClaimKey) -> None:
-        """Record an unknown outcome, in the background."""
+        """Record an unknown outcome at the registers in the background."""
         self._settle(key, RecordState.UNKNOWN)
 
     async def _claim(
@@ -201,28 +204,30 @@
     ) -> ClaimResult:
         digest = digest_key(key)
         result = ClaimResult(ClaimStatus.NO_QUORUM)
-        for number in range(ROUNDS):
+        for number in range(MAX_CLAIM_ROUNDS):
             if number:
                 await asyncio.sleep(self._random.uniform(0, 2 * ROUND_PAUSE_SECONDS * number))
             roster = self._refresh_roster()
             if roster is None:
                 return result
             token = f"{self._instance}:{self._random.getrandbits(TOKEN_BITS):x}"
-            kept = min(window + pending, self._longest_window)
-            request = ClaimRequest(digest, token, fingerprint, roster.version, kept, pending)
+            expires_in = min(window + pending, self._longest_window)
+            request = ClaimRequest(digest, token, fingerprint, roster.version, expires_in, pending)
             claim_round = ClaimRound(request, roster)
             status = await self._collect_votes(claim_round)
             if status is RoundStatus.GRANTED:
-                self._remember(key, _Grant(token, digest, claim_round.registers))
+                self._add_grant(key, _Grant(token, digest, claim_round.registers))
                 return ClaimResult(ClaimStatus.GRANTED)
             settlement = Settlement(digest, token, None)
-            self._keep(start_coroutine(self._send_settlement(settlement, claim_round.registers)))
-            result = self._judge(claim_round.find_record(), fingerprint)
+            self._hold_task(
+                start_coroutine(self._send_settlement(settlement, claim_round.registers))
+            )
+            result = self._interpret_record(claim_round.find_record(), fingerprint)
             if result.status not in (ClaimStatus.NO_QUORUM, ClaimStatus.RUNNING):
                 return result
         return result
 
-    def _judge(self, record: ClaimRecord | None, fingerprint: str) -> ClaimResult:
+    def _interpret_record(self, record: ClaimRecord | None, fingerprint: str) -> ClaimResult:
         if record is None:
             return ClaimResult(ClaimStatus.NO_QUORUM)
         if record.fingerprint != fingerprint:
@@ -237,7 +242,9 @@
     async def _collect_votes(self, claim_round: ClaimRound) -> RoundStatus:
         addresses = self._find_addresses()
         calls = {
-            asyncio.ensure_future(self._ask(register, addresses, claim_round.request)): register
+            asyncio.ensure_future(
+                self._claim_register(register, addresses, claim_round.request)
+            ): register
             for register in claim_round.registers
         }
         status = claim_round.status
@@ -250,13 +257,13 @@
                     status = claim_round.miss(calls[call])
                 else:
                     status = claim_round.receive(vote)
-        # The calls left over go on: a register that hears of the claim late can still tell a
-        # resend of its outcome.
+        # The remaining calls go on: a register that records the claim late can still answer a
+        # resend with its outcome.
         for call in pending:
-            self._keep(call)
+            self._hold_task(call)
         return status
 
-    async def _ask(
+    async def _claim_register(
         self, register: InstanceId, addresses: Mapping[InstanceId, str], request: ClaimRequest
     ) -> Vote | None:
         if register == self._instance:
@@ -271,24 +278,24 @@
         if grant is None:
             return
         settlement = Settlement(grant.digest, grant.token, state, answer)
-        self._keep(start_coroutine(self._send_settlement(settlement, grant.registers)))
+        self._hold_task(start_coroutine(self._send_settlement(settlement, grant.registers)))
 
     async def _send_settlement(
         self, settlement: Settlement, registers: frozenset[InstanceId]
     ) -> None:
         waiting = set(registers)
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_ATTEMPTS):
             addresses = self._find_addresses()
-            told = await asyncio.gather(
-                *(self._tell(register, addresses, settlement) for register in waiting)
+            settled_registers = await asyncio.gather(
+                *(self._settle_register(register, addresses, settlement) for register in waiting)
             )
-            waiting -= {register for register in told if register is not None}
+            waiting -= {register for register in settled_registers if register is not None}
             if not waiting:
                 return
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(SETTLE_RETRY_SECONDS)
         log.info("claims.settlement-incomplete", token=settlement.token, missing=sorted(waiting))
 
-    async def _tell(
+    async def _settle_register(
         self, register: InstanceId, addresses: Mapping[InstanceId, str], settlement: Settlement
     ) -> InstanceId | None:
         if register == self._instance:
@@ -297,8 +304,8 @@
         address = addresses.get(register)
         if address is None:
             return None
-        taken = await self._find_link(address).settle(settlement, CALL_TIMEOUT_SECONDS)
-        return register if taken else None
+        is_settled = await self._find_link(address).settle(settlement, CALL_TIMEOUT_SECONDS)
+        return register if is_settled else None
 
     def _find_link(self, address: str) -> ClaimsLink:
         link = self._links.get(address)
@@ -308,8 +315,9 @@
         return link
 
     async def _follow_roster(self) -> None:
-        # A register without requests of its own must know the roster too: its peers' claims wait
-        # for it, and the keepers' leader for its word that it has the newest version.
+        # A register must know the roster even where its own instance has no keyed requests: it
+        # abstains from peers' claims under a version that it does not know, and the keepers' leader
+        # waits until it reports the newest version.
         while True:
             self._refresh_roster()
             await asyncio.sleep(SHARE_PAUSE_SECONDS)
@@ -321,13 +329,15 @@
                 return
             addresses = self._find_addresses()
             unread = [name for name in self.register.list_unread() if name in addresses]
-            answers = await asyncio.gather(*(self._ask_share(addresses[name]) for name in unread))
+            answers = await asyncio.gather(
+                *(self._read_peer_share(addresses[name]) for name in unread)
+            )
             for answer in answers:
                 if answer is not None:
                     self.register.import_share(answer, self._clock.monotonic())
             await asyncio.sleep(SHARE_PAUSE_SECONDS)
 
-    async def _ask_share(self, address: str) -> ShareAnswer | None:
+    async def _read_peer_share(self, address: str) -> ShareAnswer | None:
         stub = ClaimsStub(self._channels.get(address))
         request = wire.write_share_request(self.register.make_share_request())
         try:
@@ -345,20 +355,21 @@
     def _find_addresses(self) -> dict[InstanceId, str]:
         return {live.instance_id: live.peer_address for live in self._membership.list_live()}
 
-    def _remember(self, key: ClaimKey, grant: _Grant) -> None:
-        if len(self._grants) >= MAX_GRANTS:
+    def _add_grant(self, key: ClaimKey, grant: _Grant) -> None:
+        if len(self._grants) >= MAX_UNSETTLED_GRANTS:
             oldest = next(iter(self._grants))
             del self._grants[oldest]
         self._grants[key] = grant
 
-    def _keep(self, task: "asyncio.Task[None] | asyncio.Future[Vote | None]") -> None:
-        # The loop holds tasks weakly: one that nobody holds may be collected before it ends.
-        held: set[object] = self._tasks  # type: ignore[assignment]
-        held.add(task)
-        task.add_done_callback(held.discard)
+    def _hold_task(self, task: "asyncio.Task[None] | asyncio.Future[Vote | None]") -> None:
+        # The loop has only weak references to tasks: without a strong one, a task may be garbage
+        # collected before it ends.
+        retained: set[object] = self._tasks  # type: ignore[assignment]
+        retained.add(task)
+        task.add_done_callback(retained.discard)
 
 
 def digest_key(key: ClaimKey) -> str:
-    """Return a 128-bit digest of a key, so that its length costs the registers nothing."""
+    """Return a 128-bit digest of a key; registers store this much for a key of any length."""
     text = f"{key.service}\x00{key.caller}\x00{key.key}"
     return xxhash.xxh3_128_hexdigest(text.encode())
--- a/packages/node/src/persimmonusher_node/claims_link.py
+++ b/packages/node/src/persimmonusher_node/claims_link.py
@@ -1,8 +1,8 @@
 """A link to one peer's register: one gRPC stream that carries many claims at a time.
 
-The load it is for: each keyed request asks five registers twice, and most of what a unary gRPC call
-costs is the opening and ending of its stream. On a stream that stays open, what is asked within one
-turn of the loop goes out as one message.
+Each keyed request calls five registers twice, and most of the cost of a unary gRPC call is opening
+and ending its stream. Here the stream stays open, and all claims and settlements of one turn of the
+event loop go out as one message.
 """
 
 import asyncio
@@ -20,12 +20,15 @@
 from persimmonusher_protocol.claims_grpc import ClaimsStub
 
 CALL_FAILURES: Final = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
-MAX_WAITING: Final = 10_000
-"""Questions to one peer that may wait for an answer; more than it answers within any timeout."""
+MAX_WAITING_CALLS: Final = 10_000
+"""Bound on unanswered calls to one peer, above the number that it answers within any timeout."""
 
 
 class ClaimsLink:
-    """Asks one peer's register; a broken stream fails what waits and is opened anew when needed."""
+    """Calls one peer's register.
+
+    A broken stream fails the calls that wait for answers; the next call opens a new stream.
+    """
 
     def __init__(self, open_stub: Callable[[], ClaimsStub]) -> None:
         self._open_stub = open_stub
@@ -36,31 +39,31 @@
         self._task: asyncio.Task[None] | None = None
 
     async def claim(self, request: ClaimRequest, timeout: float) -> Vote | None:
-        """Return the register's vote, or None without one in time."""
+        """Return the register's vote, or None if none arrives within the timeout."""
         number = next(self._numbers)
         self._unsent.claims.add(number=number, request=wire.write_request(request))
         answer = await self._wait(number, timeout)
         return answer if isinstance(answer, Vote) else None
 
     async def settle(self, settlement: Settlement, timeout: float) -> bool:
-        """Tell whether the register took the settlement."""
+        """Return whether the register confirmed the settlement within the timeout."""
         number = next(self._numbers)
         self._unsent.settlements.add(number=number, settlement=wire.write_settlement(settlement))
         return await self._wait(number, timeout) is True
 
     def close(self) -> None:
-        """End the stream; what waits gets no answer."""
+        """End the stream; waiting calls get no answer."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def _wait(self, number: int, timeout: float) -> Vote | bool | None:
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._waiting) >= MAX_WAITING_CALLS:
             return None
-        running = asyncio.get_running_loop()
-        answer: asyncio.Future[Vote | bool | None] = running.create_future()
+        event_loop = asyncio.get_running_loop()
+        answer: asyncio.Future[Vote | bool | None] = event_loop.create_future()
         self._waiting[number] = answer
-        timer = running.call_later(timeout, self._answer, number, None)
+        timer = event_loop.call_later(timeout, self._answer, number, None)
         self._wake.set()
         if self._task is None or self._task.done():
             self._task = start_coroutine(self._run())
@@ -85,7 +88,7 @@
                 finally:
                     receiver.cancel()
         except CALL_FAILURES:
-            # The peer is gone or unreachable: it counts as silent, and others decide.
+            # The peer is gone or unreachable: its calls end without an answer, and others decide.
             return
         finally:
             self._unsent = pb.Asked()
--- a/packages/node/src/persimmonusher_node/claims_wire.py
+++ b/packages/node/src/persimmonusher_node/claims_wire.py
@@ -1,4 +1,4 @@
-"""Claims between their protobuf messages and the state machine's typed ones."""
+"""Conversion of claims between protobuf messages and the state machine's types."""
 
 from typing import Final
 
@@ -32,7 +32,7 @@
 
 
 def write_request(request: ClaimRequest) -> pb.ClaimRequest:
-    """Make the message of a claim."""
+    """Return the message for a claim."""
     return pb.ClaimRequest(
         key=request.key,
         token=request.token,
@@ -56,7 +56,7 @@
 
 
 def write_record(record: ClaimRecord) -> pb.Record:
-    """Make the message of a record."""
+    """Return the message for a record."""
     return pb.Record(
         key=record.key,
         token=record.token,
@@ -69,7 +69,7 @@
 
 
 def read_record(message: pb.Record) -> ClaimRecord:
-    """Read a record; a state of a later version is taken as unknown, which is never run."""
+    """Read a record; a state added by a later version reads as UNKNOWN, which is never run."""
     return ClaimRecord(
         key=message.key,
         token=message.token,
@@ -82,7 +82,7 @@
 
 
 def write_vote(vote: Vote) -> pb.Vote:
-    """Make the message of a vote."""
+    """Return the message for a vote."""
     message = pb.Vote(register=vote.register, boot=vote.boot, kind=_VOTES[vote.kind])
     if vote.record is not None:
         message.record.CopyFrom(write_record(vote.record))
@@ -91,7 +91,7 @@
 
 
 def read_vote(message: pb.Vote) -> Vote:
-    """Read a vote; a kind of a later version is taken as an abstention."""
+    """Read a vote; a kind added by a later version reads as ABSTAINED."""
     return Vote(
         register=InstanceId(message.register),
         boot=message.boot,
@@ -102,7 +102,7 @@
 
 
 def write_settlement(settlement: Settlement) -> pb.Settlement:
-    """Make the message of a settlement."""
+    """Return the message for a settlement; an unspecified state releases the key."""
     state = pb.RECORD_STATE_UNSPECIFIED if settlement.state is None else _STATES[settlement.state]
     return pb.Settlement(
         key=settlement.key, token=settlement.token, state=state, answer=settlement.answer
@@ -110,7 +110,7 @@
 
 
 def read_settlement(message: pb.Settlement) -> Settlement:
-    """Read a settlement."""
+    """Read a settlement; a state added by a later version reads as UNKNOWN."""
     state = None
     if message.state != pb.RECORD_STATE_UNSPECIFIED:
         state = _STATES_READ.get(message.state, RecordState.UNKNOWN)
@@ -118,19 +118,19 @@
 
 
 def write_share_request(request: ShareRequest) -> pb.ShareRequest:
-    """Make the message that reads a peer's records."""
+    """Return the message that requests a peer's records."""
     return pb.ShareRequest(
         register=request.register, boot=request.boot, roster_version=request.roster_version
     )
 
 
 def read_share_request(message: pb.ShareRequest) -> ShareRequest:
-    """Read a peer's wish for records."""
+    """Read a peer's request for records."""
     return ShareRequest(InstanceId(message.register), message.boot, message.roster_version)
 
 
 def write_share_answer(answer: ShareAnswer) -> pb.ShareAnswer:
-    """Make the message with a peer's records."""
+    """Return the message that carries records to a peer."""
     message = pb.ShareAnswer(
         register=answer.register,
         trusted=answer.trusted,
@@ -153,7 +153,7 @@
 
 
 def encode_answer(answer: StoredAnswer) -> bytes:
-    """Encode a backend server's answer as a register keeps it."""
+    """Encode a backend server's answer for storage in registers."""
     headers = [pb.StoredAnswer.Header(name=name, value=value) for name, value in answer.headers]
     message = pb.StoredAnswer(status=answer.status, headers=headers, body=answer.body)
     encoded: bytes = message.SerializeToString()
@@ -161,7 +161,7 @@
 
 
 def decode_answer(encoded: bytes) -> StoredAnswer:
-    """Decode a kept answer."""
+    """Decode a stored answer."""
     message = pb.StoredAnswer.FromString(encoded)
     headers = tuple((header.name, header.value) for header in message.headers)
     return StoredAnswer(message.status, headers, message.body)
--- a/packages/node/src/persimmonusher_node/entry.py
+++ b/packages/node/src/persimmonusher_node/entry.py
@@ -1,4 +1,4 @@
-"""The entry: from a caller's request head to its answer, whatever the listener."""
+"""The entry: takes a caller's request from its head to its answer, independent of the listener."""
 
 from typing import Final
 
@@ -16,13 +16,13 @@
 from persimmonusher_node.ports import Freshness, Quotas, QuotaVerdict
 from persimmonusher_node.services import LiveService, RoutedService, ServiceBook
 
-LONGEST_KEY: Final = 256
-"""Characters; keys are held on several instances for the key window."""
-SHORTEST_QUOTA_SECONDS: Final = 0.2
-"""Least time after which a caller beyond its organisation's quota may come back."""
-QUOTA_UNKNOWN_SECONDS: Final = 0.5
-"""When a caller may come back whose quota nobody could tell: about the time until an instance has
-found another keeper."""
+MAX_KEY_CHARACTERS: Final = 256
+"""Longest Idempotency-Key. Bounded because several instances hold each key for the key window."""
+MIN_QUOTA_RETRY_SECONDS: Final = 0.2
+"""Shortest Retry-After for a caller whose organisation has used up its quota."""
+QUOTA_UNKNOWN_RETRY_SECONDS: Final = 0.5
+"""Retry-After for a caller whose quota could not be checked: about the time that an instance takes
+to find another keeper."""
 
 _log = get_logger(__name__)
 
@@ -43,11 +43,11 @@
         self._forwarder = forwarder
         self._keyed = keyed
         self._quotas = quotas
-        self._lines = LineBudget(clock)
+        self._log_budget = LineBudget(clock)
         self._decimals = decimals
 
     def is_ready(self) -> bool:
-        """Tell whether a configuration is in force here.
+        """Return whether a configuration is in force here.
 
         Guards against a restarted instance that would answer every caller with `no route` until
         it has pulled the configuration from a keeper or a peer.
@@ -55,13 +55,13 @@
         return self._services.is_configured()
 
     def find(self, host: str, path: str) -> RoutedService | None:
-        """Return the service that a request is for with its route's rule, or None."""
+        """Return the service that a request is for and the rule of its route, or None."""
         return self._services.match(host, path)
 
     def may_deny(self) -> bool:
-        """Tell whether `no route` is this instance's to say.
+        """Return whether this instance may answer `no route`.
 
-        Guards against an instance that lost touch with the keepers: a route that it doesn't know
+        Guards against an instance that lost contact with the keepers: a route that it doesn't know
         may have been added since.
         """
         return self._services.is_current()
@@ -98,7 +98,7 @@
     def _refuse_quota(
         self, verdict: QuotaVerdict, organisation: Organisation, quota: RequestQuota, call: Call
     ) -> Answer:
-        if self._lines.take():
+        if self._log_budget.take():
             _log.info(
                 "request-over-quota",
                 request_id=call.request_id,
@@ -106,14 +106,14 @@
                 verdict=verdict.value,
                 per_second=quota.per_second,
                 burst=quota.burst,
-                lines_left_out=self._lines.take_left_out(),
+                lines_left_out=self._log_budget.take_left_out(),
             )
         if verdict is QuotaVerdict.EXCEEDED:
             code, message = AnswerCode.QUOTA_EXCEEDED, "the organisation's quota is used up"
-            seconds = max(SHORTEST_QUOTA_SECONDS, 1.0 / quota.per_second)
+            seconds = max(MIN_QUOTA_RETRY_SECONDS, 1.0 / quota.per_second)
         else:
             code, message = AnswerCode.QUOTA_UNKNOWN, "the organisation's quota can't be told"
-            seconds = QUOTA_UNKNOWN_SECONDS
+            seconds = QUOTA_UNKNOWN_RETRY_SECONDS
         return make_error(
             code, message, call.request_id, retry_after=seconds, decimals=self._decimals
         )
@@ -122,8 +122,8 @@
         if call.is_idempotent(live.profile):
             return self._forwarder.forward(call, live)
         if call.key is not None:
-            if not 0 < len(call.key) <= LONGEST_KEY:
-                message = f"Idempotency-Key must have 1 to {LONGEST_KEY} characters"
+            if not 0 < len(call.key) <= MAX_KEY_CHARACTERS:
+                message = f"Idempotency-Key must have 1 to {MAX_KEY_CHARACTERS} characters"
                 return make_error(AnswerCode.BAD_REQUEST, message, call.request_id)
             return self._keyed.forward(call, live)
         if live.profile.key_required:
--- a/packages/node/src/persimmonusher_node/peers.py
+++ b/packages/node/src/persimmonusher_node/peers.py
@@ -1,7 +1,7 @@
 """gRPC channels to other instances, one for each address, opened when first needed.
 
-The peer token goes along as metadata with every call. A channel reconnects by itself; a call to an
-instance that is gone fails within its own timeout and must not be waited for without one.
+Every call carries the peer token as metadata. A channel reconnects by itself. A call to an instance
+that is gone fails only by its own timeout, so every call needs one.
 """
 
 from collections.abc import Mapping
@@ -16,12 +16,12 @@
 from grpclib.server import Server
 
 KEEPALIVE_SECONDS: Final = 5.0
-"""Pause between pings on a channel with calls in progress, and the wait for their answers.
+"""Interval of pings on a channel with calls in progress, and the timeout of each ping.
 
-Failure: a cut drops packets without an error. TCP then resends in growing steps of up to minutes,
-and calls go on failing long after the cut has healed. A ping without an answer closes the
-connection, and the next call opens a new one. 10 s after the cut began is soon enough: until then,
-calls have their own, shorter timeouts.
+Guards against a network partition that drops packets without an error. TCP then retransmits at
+growing intervals of up to minutes, and calls go on failing long after the partition has healed. A
+ping without an answer closes the connection, and the next call opens a new one. 10 s after the
+partition began is soon enough: until then, calls have their own, shorter timeouts.
 """
 TOKEN_HEADER: Final = "persimmonusher-token"
 
@@ -53,7 +53,7 @@
         return channel
 
     def forget(self, address: str) -> None:
-        """Close the channel to an instance that left."""
+        """Close the channel to an address; the next `get` opens a new one."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
@@ -75,7 +75,7 @@
 
 
 def require_token(server: Server, names_by_token: Mapping[str, str]) -> None:
-    """Refuse every call to the server that carries none of the tokens."""
+    """Make the server refuse every call that carries none of the tokens (the mapping's keys)."""
 
     async def check(event: RecvRequest) -> None:
         token = event.metadata.get(TOKEN_HEADER)
--- a/packages/node/src/persimmonusher_node/ports.py
+++ b/packages/node/src/persimmonusher_node/ports.py
@@ -1,7 +1,7 @@
-"""Ports: what the data plane needs from the rest of the node.
+"""Ports: the interfaces that the data plane needs from the rest of the node.
 
-Adapters in this package implement them over the network; tests implement them in memory. A method
-that may wait says so: it blocks its green thread, never the loop.
+Adapters in this package implement them over the network, `memory` implements them in one process. A
+method that may wait says so: it blocks its green thread, never the loop.
 """
 
 from abc import ABC, abstractmethod
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True)
 class Freshness:
-    """Upper bounds on how stale the configuration is here, by hop. Ages are seconds."""
+    """Upper bounds on how stale the configuration is, here and at the keeper. Ages in seconds."""
 
     age: float
-    """All that was acknowledged longer ago than this is in force here."""
+    """Every change that was acknowledged longer ago than this is in force here."""
     keeper: str
     """Address of the keeper that answered last; empty before the first answer."""
     keeper_age: float
-    """The same age at that keeper, as it stated it."""
+    """The same bound at that keeper, as it reported it."""
     is_late: bool
-    """Whether the age is a large part of the time in which a change is to be in force."""
+    """Whether the age is a large part of the time within which a change must be in force."""
 
 
 class ConfigurationView(ABC):
@@ -44,11 +44,11 @@
         """Return the revision in force here; it only ever rises."""
 
     def is_configured(self) -> bool:
-        """Tell whether there is a configuration to answer callers by."""
+        """Return whether there is a configuration to answer callers with."""
         return self.revision() > 0
 
     def is_current(self) -> bool:
-        """Tell whether no later revision can have been in force for long."""
+        """Return False if a later revision may have been in force elsewhere for too long."""
         return True
 
     def find_freshness(self) -> Freshness | None:
@@ -78,13 +78,13 @@
 
     @abstractmethod
     def announce(self, server: BackendServer) -> bool:
-        """Take an announcement; False when a newer one is known already."""
+        """Record an announcement; return False if a newer one is known already."""
 
     def relays_announcements(self) -> bool:
-        """Tell whether others hear of what is announced here.
+        """Return whether announcements made here reach other instances.
 
-        While False, answer an announcement with 503, so that the server announces itself again at
-        once through another entry; the announcement counts here all the same.
+        While it returns False, answer an announcement with 503, so that the server announces itself
+        again at once through another entry; this instance still uses the announcement.
         """
         return True
 
@@ -94,7 +94,7 @@
 
     @abstractmethod
     def version(self, service: ServiceName) -> int:
-        """Return a number that changes whenever `list_servers` would."""
+        """Return a number that changes whenever the result of `list_servers` does."""
 
 
 @dataclass(frozen=True)
@@ -139,7 +139,7 @@
 
 
 class ClaimStatus(Enum):
-    """What a claim of an Idempotency-Key came to."""
+    """The result of a claim on an Idempotency-Key."""
 
     GRANTED = "granted"
     """This instance may dispatch the request, once."""
@@ -148,7 +148,7 @@
     RUNNING = "running"
     """Another instance, or an earlier call, holds the claim."""
     UNKNOWN = "unknown"
-    """The holder gave up without learning the outcome, or was lost."""
+    """The claim's holder did not learn the outcome, or was lost."""
     MISMATCH = "mismatch"
     """The key was used before with a different request."""
     NO_QUORUM = "no-quorum"
@@ -172,21 +172,21 @@
     ) -> ClaimResult:
         """Claim the key for one dispatch; waits for a majority of the key's registers.
 
-        The outcome is kept for `window_seconds`; a request that isn't settled after
-        `pending_seconds` is taken as one of unknown outcome.
+        The outcome is kept for `window_seconds`. The outcome of a request that isn't settled after
+        `pending_seconds` counts as unknown.
         """
 
     @abstractmethod
     def finish(self, key: ClaimKey, answer: StoredAnswer) -> None:
-        """Keep the answer of a request that ran; waits for a majority."""
+        """Store the answer of a request that ran; it may still be on its way on return."""
 
     @abstractmethod
     def release(self, key: ClaimKey) -> None:
-        """Give the key back: the request was certainly not run; waits for a majority."""
+        """Release the key of a request that was certainly not run; like `finish`, needn't wait."""
 
     @abstractmethod
     def give_up(self, key: ClaimKey) -> None:
-        """Record that the outcome is unknown; a resend is told so and is never run."""
+        """Record that the outcome is unknown; a resend is answered so and is never run."""
 
 
 class QuotaVerdict(Enum):
@@ -195,11 +195,11 @@
     GRANTED = "granted"
     EXCEEDED = "exceeded"
     UNKNOWN = "unknown"
-    """Nobody who counts the organisation's requests could be reached."""
+    """No instance that counts the organisation's requests could be reached."""
 
 
 class Quotas(ABC):
-    """The organisations' quotas, which hold over all instances together."""
+    """The organisations' quotas; each bounds the requests of all instances together."""
 
     @abstractmethod
     def take(self, organisation: Organisation) -> QuotaVerdict:
@@ -207,7 +207,7 @@
 
     @abstractmethod
     def give_back(self, organisation: Organisation) -> None:
-        """Take back one that was granted for a request which was not run in the end."""
+        """Uncount a request that was granted but not run."""
 
 
 class Unlimited(Quotas):
--- a/packages/node/src/persimmonusher_node/settings.py
+++ b/packages/node/src/persimmonusher_node/settings.py
@@ -12,14 +12,14 @@
 
 
 class Role(StrEnum):
-    """What an instance does."""
+    """What an instance does in the fleet."""
 
     COMBINED = "combined"
-    """Takes callers' requests, knows the other instances by gossip, and may keep the log."""
+    """Serves callers, finds the other instances by gossip, and may keep the configuration log."""
     ENTRY = "entry"
-    """Takes callers' requests and follows a keeper, which tells it all else."""
+    """Serves callers and follows a keeper, from which it gets its configuration."""
     KEEPER = "keeper"
-    """Keeps the log, backend servers' registrations and the routing document."""
+    """Keeps the configuration log, backend servers' registrations and the routing document."""
 
 
 REQUIRED_LISTENERS: Final = {
@@ -30,9 +30,10 @@
 
 
 class Listeners(BaseModel):
-    """Where the instance listens, each kind of client apart from the others.
+    """Where the instance listens, with a separate address for each kind of client.
 
-    Empty where the instance's role has no such listener; `REQUIRED_LISTENERS` says what each has.
+    Empty where the instance's role has no such listener; `REQUIRED_LISTENERS` lists those of each
+    role.
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
@@ -44,13 +45,13 @@
     operators: OptionalAddress = ""
     metrics: OptionalAddress = ""
     ready: OptionalAddress = ""
-    """Where the balancer asks an entry whether it takes callers."""
+    """Where the load balancer checks whether an entry accepts callers' requests."""
     control: OptionalAddress = ""
     """Where backend servers and operators reach a keeper by HTTP."""
 
 
 class Limits(BaseModel):
-    """Bounds of the callers' listener, against slow, huge and too many requests."""
+    """Limits of the callers' listener, against slow, huge and too many requests."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -61,8 +62,9 @@
     body_seconds: float = Field(default=30.0, gt=0, le=600)
     write_seconds: float = Field(default=30.0, gt=0, le=600)
     buffered_answer_bytes: int = Field(default=1_048_576, ge=16_384, le=67_108_864)
-    """Answers up to this size are held until whole; longer ones stream with a checked end.
-    Below eventlet's write size of 4 KB, a cut-off stream would end before its head was sent."""
+    """Answers up to this size are buffered until complete; longer ones are streamed, and their end
+    is checked. With a limit below eventlet's write size of 4 KB, a stream could be cut off before
+    its head was sent."""
 
 
 class ClaimSettings(BaseModel):
@@ -71,15 +73,15 @@
     model_config = ConfigDict(frozen=True, extra="forbid")
 
     founding_instances: int = Field(default=5, ge=1, le=10_000)
-    """Live instances that the first roster waits for. Fewer than 5 is for trials: with one or two
-    instances, a restart makes keyed requests wait for the longest window."""
+    """Number of live instances that the first roster waits for. Fewer than 5 is for trials: with
+    one or two instances, a restart makes keyed requests wait for the longest window."""
     longest_window_seconds: float = Field(default=900.0, ge=1, le=86_400)
-    """Longest time for which a key is kept; profiles' windows end here. After a restart of the
-    whole fleet at once, keyed requests are refused, as not run, for so long."""
+    """Longest time for which a key is kept; longer windows of profiles are cut to it. After a
+    restart of the whole fleet at once, keyed requests are refused, as not run, for this time."""
 
 
 class Bounds(BaseModel):
-    """What the surroundings state, in their own units; settings that are left out follow from it.
+    """Bounds that the deployment states, in its own units; settings left out derive from them.
 
     Any of them may be a fraction, or be unknown.
     """
@@ -87,19 +89,19 @@
     model_config = ConfigDict(frozen=True, extra="forbid")
 
     change_in_force_ms: float | None = Field(default=None, gt=0, le=600_000)
-    """Time within which an accepted change is to be in force everywhere."""
+    """Time within which an accepted change must be in force everywhere."""
     kill_after_seconds: float | None = Field(default=None, gt=0, le=3_600)
-    """Time after which the supervisor kills a process that it has told to stop."""
+    """Time between the supervisor's stop signal and its kill."""
     retry_ratio: float | None = Field(default=None, ge=0, le=1)
-    """Further attempts of a service in a window of time, as a part of its requests."""
+    """Retries of a service in a window of time, as a fraction of its requests."""
     retry_slack: float | None = Field(default=None, ge=0, le=100_000)
-    """The same beyond that part, of all instances together."""
+    """Number of retries allowed beyond that fraction, over all instances together."""
     quota_window_seconds: float | None = Field(default=None, gt=0, le=3_600)
-    """The time over which an organisation's requests are held against its quota."""
+    """Length of the window in which an organisation's requests are compared with its quota."""
     quota_overshoot: float | None = Field(default=None, ge=0, le=1)
-    """Part of a quota by which the requests in that time may exceed it."""
+    """Fraction of the quota by which the requests in that window may exceed it."""
     quota_slack: float | None = Field(default=None, ge=0, le=100_000)
-    """Requests beyond that part."""
+    """Number of requests allowed beyond that fraction."""
 
 
 class Keeper(BaseModel):
@@ -109,7 +111,7 @@
 
     instance_id: str
     address: Address
-    """Its peer interface."""
+    """The keeper's peer interface."""
 
 
 class Settings(BaseModel):
@@ -122,39 +124,41 @@
     role: Role = Role.COMBINED
     listen: Listeners
     seeds: tuple[Address, ...] = ()
-    """Peer interfaces of some other instances, to find the fleet by; for an entry or a keeper,
-    those of keepers."""
+    """Peer interfaces of some other instances, through which this one finds the fleet; for an entry
+    or a keeper, those of keepers."""
     seeds_port: int | None = Field(default=None, ge=1, le=65_535)
-    """The port of the seeds' peer interface, where `seeds` names another one of theirs."""
+    """The port of the seeds' peer interface, where `seeds` names another port of the seeds."""
     bootstrap: bool = False
-    """The whole fleet starts for the first time, with empty disks: a log may be formed."""
+    """Whether the whole fleet starts for the first time, with empty disks: a new log may be
+    formed."""
     tolerated_losses: int = Field(default=1, ge=0, le=10)
-    """Keepers' disks that may be lost at once: 2 f + 1 keepers vote, f + 1 copies are synced before
-    a change is acknowledged."""
+    """Number f of keepers' disks that may be lost at once: 2 f + 1 keepers vote, and f + 1 copies
+    are synced before a change is acknowledged."""
     stale_seconds: float = Field(default=2.0, gt=0, le=600)
-    """An entry that has heard of no majority of keepers for longer says of no route that there is
-    none; the time in which an accepted change is to be in force."""
+    """Time within which an accepted change must be in force. An entry that has had no sign of a
+    majority of keepers for longer does not answer `no route`, since a route may have been added."""
     bounds: Bounds = Bounds()
     default_profile: dict[str, Any] = {}
-    """The profile document of the routing document's services that have none of their own."""
+    """Profile document for the routing document's services that have no profile of their own."""
     stop_seconds: float | None = Field(default=None, gt=0, le=3600)
-    """The longest a graceful stop may take, where the supervisor kills the process after it."""
+    """Longest duration of a graceful stop, where the supervisor kills the process after it."""
     keepers: tuple[Keeper, ...] = ()
-    """The first keepers; an instance that finds itself here, and has a data folder, is one."""
+    """The first keepers; an instance that is listed here and has a data folder is a keeper."""
     data_folder: str | None = None
     peer_token: str
-    """Shared by all instances; a call without it is refused."""
+    """Shared by all instances; calls to a peer interface without it are refused."""
     operator_tokens: dict[str, str] = {}
-    """Each operator's name and token."""
+    """Tokens by operator name."""
     log_level: Literal["debug", "info", "warning", "error"] = "info"
     log_format: Literal["json", "console"] = "json"
     assessor: bool = False
-    """Set aside for assessing services; where two or more are, no other instance assesses."""
+    """Whether the instance is reserved for assessing services; with two or more such instances, no
+    other instance assesses."""
     heartbeat_timeout_seconds: float = Field(default=5.0, ge=0.5, le=600)
-    """A backend server that has not announced itself for this long is taken as lost."""
+    """A backend server that has not announced itself for this long counts as lost."""
     stop_delay_seconds: float = Field(default=1.0, ge=0, le=600)
-    """Time between the health path's first 503 and the closed listener, for the balancer to see
-    it: at least two of its check periods."""
+    """Time between the health path's first 503 and the close of the listener, so that the load
+    balancer notices: at least two of its check intervals."""
     limits: Limits = Limits()
     claims: ClaimSettings = ClaimSettings()
 
@@ -167,12 +171,12 @@
 
     @property
     def is_keeper(self) -> bool:
-        """Tell whether this instance is one of the first keepers."""
+        """Return whether this instance is one of the first keepers."""
         return any(keeper.instance_id == self.instance_id for keeper in self.keepers)
 
     @property
     def roles(self) -> tuple[str, ...]:
-        """Return the roles that other instances are told of."""
+        """Return the roles that membership announces to other instances."""
         keeper = ("keeper",) if self.is_keeper else ()
         assessor = ("assessor",) if self.assessor else ()
         return ("entry", *keeper, *assessor)
--- a/packages/node/src/persimmonusher_node/settings_bounds.py
+++ b/packages/node/src/persimmonusher_node/settings_bounds.py
@@ -1,31 +1,34 @@
-"""Settings that follow from what the surroundings state, where the file leaves them out."""
+"""Derives settings that the file leaves out from the bounds that the deployment states."""
 
 from typing import Any, Final
 
 from persimmonusher_decisions.quota_shares import QuotaTerms
 from persimmonusher_node.settings import Bounds, Settings
 
-EXIT_SECONDS: Final = 0.8
-"""Time between the last answer of a stop and the process's end, which the kill must not cut short:
-callers that are cut off by a reset know more than those whose peer is gone."""
-SHORTEST_STOP_SHARE: Final = 0.5
-"""Part of a very short time until the kill that a stop has all the same."""
-LARGEST_RETRY_PERCENT: Final = 50
-"""The most that a profile takes."""
-RETRY_SHARE: Final = 0.9
-"""Part of the allowed retries that is used: instances count requests in windows of their own, which
-don't begin at the same moment as those of whoever holds them to it."""
+EXIT_RESERVE_SECONDS: Final = 0.8
+"""Time reserved for the process to exit after the last answer of a stop, so that it ends before
+the supervisor kills it: a reset tells callers more than a peer that vanished."""
+MIN_STOP_FRACTION: Final = 0.5
+"""Least fraction of the time until the kill that a stop gets, for when that time is very short."""
+MAX_RETRY_BUDGET_PERCENT: Final = 50
+"""Largest `retry_budget_percent` that a profile accepts."""
+USED_RETRY_FRACTION: Final = 0.9
+"""Fraction of the allowed retries that is used. Instances count requests in their own windows,
+which don't start at the same moments as the windows over which the bound is checked."""
 
 
 def apply_bounds(settings: Settings) -> Settings:
-    """Fill in what the file leaves out; what it says goes first."""
+    """Return the settings with derived values for those that the file leaves out.
+
+    The default profile keeps its own values and gets derived ones for the fields that it lacks.
+    """
     bounds = settings.bounds
     derived: dict[str, Any] = {}
     if bounds.change_in_force_ms is not None:
         derived["stale_seconds"] = bounds.change_in_force_ms / 1000.0
     if bounds.kill_after_seconds is not None:
-        shortest = SHORTEST_STOP_SHARE * bounds.kill_after_seconds
-        derived["stop_seconds"] = max(shortest, bounds.kill_after_seconds - EXIT_SECONDS)
+        shortest = MIN_STOP_FRACTION * bounds.kill_after_seconds
+        derived["stop_seconds"] = max(shortest, bounds.kill_after_seconds - EXIT_RESERVE_SECONDS)
     derived = {
         name: value for name, value in derived.items() if name not in settings.model_fields_set
     }
@@ -34,7 +37,7 @@
 
 
 def make_quota_terms(bounds: Bounds) -> QuotaTerms:
-    """Return how far quotas may be exceeded; not at all where nothing is stated."""
+    """Return how far quotas may be exceeded; bounds that are not stated allow no excess."""
     stated = {
         "window_seconds": bounds.quota_window_seconds,
         "overshoot": bounds.quota_overshoot,
@@ -47,8 +50,8 @@
     bounds = settings.bounds
     fields: dict[str, Any] = {}
     if bounds.retry_ratio is not None:
-        percent = int(100.0 * RETRY_SHARE * bounds.retry_ratio)
-        fields["retry_budget_percent"] = min(LARGEST_RETRY_PERCENT, percent)
+        percent = int(100.0 * USED_RETRY_FRACTION * bounds.retry_ratio)
+        fields["retry_budget_percent"] = min(MAX_RETRY_BUDGET_PERCENT, percent)
     if bounds.retry_slack is not None:
         fields["retry_slack"] = bounds.retry_slack
     return fields
--- a/packages/node/src/persimmonusher_node/shutdown.py
+++ b/packages/node/src/persimmonusher_node/shutdown.py
@@ -1,7 +1,8 @@
-"""Graceful stop: tell the balancer, stop accepting, let requests in flight end, then leave.
+"""Graceful stop: fail the health check, stop accepting, let requests in flight end, then exit.
 
-Every request in flight ends by itself at its own deadline, which is at most ten minutes; what is
-left after that are callers that neither send nor read, and those are cut off after a grace.
+Every request in flight ends by itself at its own deadline, which is at most ten minutes. Any
+connections left after that belong to callers that neither send nor read; they are cut off after a
+grace period.
 """
 
 import signal
@@ -21,8 +22,8 @@
 
 POLL_SECONDS: Final = 0.05
 LAST_ANSWERS_SECONDS: Final = 0.2
-"""Time for the answers to requests that the end of a stop leaves unserved; the process ends well
-before it is killed all the same."""
+"""Time to send the last answers, to requests that are still unserved at the end of a stop. Short
+enough that the process still ends well before the supervisor kills it."""
 
 _log = get_logger(__name__)
 
@@ -30,8 +31,8 @@
 class StopSignal:
     """Turns SIGTERM and SIGINT into an event; only the first of them counts.
 
-    A second signal shortens nothing: an impatient supervisor that sends it would otherwise cut off
-    the requests that the first one promised to let end. SIGKILL remains.
+    A second signal does not shorten the stop: a supervisor that sends it early would otherwise cut
+    off the requests that the first signal lets end. SIGKILL still ends the process at once.
     """
 
     def __init__(self) -> None:
@@ -39,15 +40,16 @@
         self._count = 0
 
     def install(self) -> None:
-        """Handle the signals from now on."""
+        """Install the handlers for SIGTERM and SIGINT."""
         signal.signal(signal.SIGTERM, self._handle)
         signal.signal(signal.SIGINT, self._handle)
 
     def request(self) -> None:
-        """Ask for the stop, as a signal would."""
+        """Request the stop, as a signal does."""
         self._count += 1
         if self._count == 1:
-            # A handler runs between any two instructions, where switching green threads is unsafe.
+            # A signal handler runs between any two instructions, where a switch of green threads is
+            # unsafe, so the hub sends the event.
             eventlet.hubs.get_hub().schedule_call_global(0, self._event.send)
 
     def wait(self) -> None:
@@ -74,28 +76,28 @@
         self._listener = listener
         self._forwarder = forwarder
         self._clock = clock
-        self._signalled = clock.monotonic()
+        self._signalled_at = clock.monotonic()
 
     def run(self) -> bool:
-        """Carry out the stop; tell whether nothing had to be cut off."""
-        self._signalled = self._clock.monotonic()
+        """Carry out the stop; return True if no connection had to be cut off."""
+        self._signalled_at = self._clock.monotonic()
         self._application.stopping = True
         self._listener.close_after_answers()
         _log.info("stopping", in_flight=self._forwarder.in_flight)
         eventlet.sleep(self._settings.stop_delay_seconds)
         self._listener.stop_accepting()
         if self._settings.stop_seconds is not None:
-            self._application.cut_off_at = self._signalled + self._settings.stop_seconds
+            self._application.cut_off_at = self._signalled_at + self._settings.stop_seconds
         started = self._clock.monotonic()
-        whole = self._listener.wait_until_idle(lambda: self._is_overdue(started))
-        if not whole:
+        is_idle = self._listener.wait_until_idle(lambda: self._is_overdue(started))
+        if not is_idle:
             self._answer_overdue()
             _log.warning("cut off callers that neither sent nor read")
             self._listener.abort()
-        return whole
+        return is_idle
 
     def _answer_overdue(self) -> None:
-        """Answer what no server has: told of a timeout, a caller knows more than after a reset."""
+        """Answer the requests that no server answered: a timeout says more than a reset."""
         for run in self._forwarder.list_runs():
             run.stop(OutcomeKind.TIMEOUT)
         until = self._clock.monotonic() + LAST_ANSWERS_SECONDS
@@ -104,8 +106,9 @@
     def _is_overdue(self, started: float) -> bool:
         stop_seconds = self._settings.stop_seconds
         if stop_seconds is not None:
-            # The supervisor kills the process then, and with it callers that a reset would tell.
-            return self._clock.monotonic() - self._signalled > stop_seconds
+            # The supervisor kills the process soon after this, and its callers would not even get
+            # a reset.
+            return self._clock.monotonic() - self._signalled_at > stop_seconds
         limits = self._settings.limits
         grace = limits.head_seconds + limits.body_seconds + limits.write_seconds
         waited = self._clock.monotonic() - started
