--- a/packages/node/src/persimmonusher_node/ages.py
+++ b/packages/node/src/persimmonusher_node/ages.py
@@ -1,13 +1,13 @@
-"""Ages as logs, metrics and messages state them."""
+"""Ages as reported in logs, metrics and messages."""
 
 from typing import Final
 
 LONGEST_AGE_SECONDS: Final = 3_600.0
-"""Stands for any longer time, and for that of a process that was never told anything."""
+"""Reported in place of any longer age, and by a process that has not received any state yet."""
 
 
 def bound_age(seconds: float) -> float:
-    """Return an age that every reader of JSON and metrics takes.
+    """Return the age, limited to a finite number, which every reader of JSON and metrics accepts.
 
     >>> bound_age(0.25), bound_age(float("inf"))
     (0.25, 3600.0)
--- a/packages/node/src/persimmonusher_node/applied_configuration.py
+++ b/packages/node/src/persimmonusher_node/applied_configuration.py
@@ -1,4 +1,4 @@
-"""The committed records of one instance, made ready for look-ups on the hot path."""
+"""The committed records of one instance, indexed for look-ups on the hot path."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -19,7 +19,7 @@
 
 
 class AppliedConfiguration:
-    """Records with the routes and parsed profiles that follow from them."""
+    """The records, with the routes and parsed profiles derived from them."""
 
     def __init__(self, document: AppliedDocument | None = None) -> None:
         self.store = ConfigurationStore()
@@ -72,10 +72,11 @@
             self.document.take(record)
 
     def _derive_profile(self, key: ObjectKey) -> None:
-        """Parse a profile, or keep the former one where it can't be read here.
+        """Parse a profile, or keep the previous one if this instance can't parse it.
 
-        Guards against an upgrade in steps: a profile that a newer keeper checked may hold a field
-        that this instance doesn't know yet, and the service must not lose its profile over it.
+        Guards against a failure during a rolling upgrade: a profile that a newer keeper accepted
+        may hold a field that this instance doesn't know yet. The service must not lose its profile
+        because of that.
         """
         name = ProfileName(key.name)
         record = self.store.find_live(key)
--- a/packages/node/src/persimmonusher_node/applied_document.py
+++ b/packages/node/src/persimmonusher_node/applied_document.py
@@ -1,4 +1,4 @@
-"""The routing document in force at one instance, made ready for look-ups on the hot path."""
+"""The routing document in force at one instance, indexed for look-ups on the hot path."""
 
 from collections.abc import Callable
 
@@ -17,11 +17,11 @@
 
 
 def ignore_limits(limits: CallerLimits) -> None:
-    """Take no note, before there is a listener."""
+    """Do nothing; the default until a listener sets its own callback."""
 
 
 class AppliedDocument:
-    """The rules of the document, and the profiles of services that have none of their own."""
+    """The document's rules, and profiles for its services that have none of their own."""
 
     def __init__(self, codec: DocumentCodec, default_profile: Profile) -> None:
         self._codec = codec
@@ -32,13 +32,15 @@
         self.organisations: OrganisationBook | None = None
         """None where requests carry no API keys."""
         self.take_limits: Callable[[CallerLimits], None] = ignore_limits
-        """Is told what callers may send, each time that a document comes into force."""
+        """Called with the limits on callers' requests each time that a document comes into
+        force."""
 
     def take(self, record: Record) -> None:
-        """Put a committed document in force, or keep the former one where it can't be read here.
+        """Put a committed document in force, or keep the previous one if it can't be parsed here.
 
-        Guards against an upgrade in steps: a keeper of a newer version may have accepted what this
-        version can't read, and callers must not lose all routes over it.
+        Guards against a failure during a rolling upgrade: a keeper of a newer version may have
+        accepted a document that this version can't read. Callers must not lose all routes because
+        of that.
         """
         assert record.body is not None
         stored = unpack_document(record.body)
@@ -64,11 +66,11 @@
         return self._profiles.get(service)
 
     def may_know(self, service: ServiceName) -> bool:
-        """Tell whether a service may be in use: any may before the first document."""
+        """Return whether the service may be in use; before the first document, any service may."""
         return self.document is None or service in self._profiles
 
     def _make_profiles(self, document: RoutingDocument) -> dict[ServiceName, Profile]:
-        """Make a profile for each service; one that says the same as before stays the object."""
+        """Make a profile for each service; an unchanged profile stays the same object."""
         made = {}
         for entry in document.services:
             profile = self._default.model_copy(
@@ -77,6 +79,6 @@
                     "connections_per_server": entry.connection_limit,
                 }
             )
-            former = self._profiles.get(entry.name)
-            made[entry.name] = former if former == profile else profile
+            previous = self._profiles.get(entry.name)
+            made[entry.name] = previous if previous == profile else profile
         return made
--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -1,7 +1,8 @@
 """The committed configuration at one instance: pulled, applied, served to peers.
 
-Every instance runs one. It takes batches from any keeper or peer and only upwards, so it works on
-for hours without keepers and brings a restarted neighbour up to date meanwhile.
+Every instance runs one. It accepts batches from any keeper or peer and only moves to newer
+revisions. It therefore works for hours without keepers, and a restarted peer can catch up from it
+meanwhile.
 """
 
 import asyncio
@@ -44,28 +45,31 @@
 logger = structlog.get_logger(__name__)
 
 PULL_INTERVAL_SECONDS: Final = 1.0
-"""Mean time between pulls that nobody asked for; they mend lost announcements."""
+"""Mean interval of periodic pulls, which make up for lost announcements."""
 
 FIRST_PULL_INTERVAL_SECONDS: Final = 0.1
-"""The same while nothing is known yet: an entry without configuration can serve nobody."""
+"""The same before the first revision: an entry without configuration can't serve any caller."""
 
 PULL_TIMEOUT_SECONDS: Final = 10.0
-"""For a whole batch at the target's 200,000 routes; an unchanged answer takes milliseconds."""
+"""Long enough for a whole batch with the 200,000 routes that the fleet is designed for; the answer
+to an up-to-date instance takes milliseconds."""
 
 ANNOUNCE_TIMEOUT_SECONDS: Final = 1.0
 ANNOUNCE_FAN_OUT: Final = 3
-"""Partners told at once of a new revision: 2,500 instances are within eight steps."""
+"""Number of partners notified at once of a new revision. With three, an announcement reaches 2,500
+instances within eight hops."""
 
-HELD_SECONDS: Final = 0.25
-CONCURRENT_PULLS: Final = 3
-"""So that one source that hangs doesn't hold up the news of another."""
+HELD_PULL_SECONDS: Final = 0.25
+"""Time for which an unanswered pull holds back pulls of other announced revisions."""
+MAX_CONCURRENT_PULLS: Final = 3
+"""More than one, so that a source that hangs doesn't block pulls from another."""
 
 
 class ConfigurationClient(Component, ConfigurationView):
     """The `ConfigurationView` of an instance, and its Configuration service for peers.
 
     Constructor: `ConfigurationClient(settings, channels, clock, random, list_peers)`; `list_peers`
-    returns the live instances' peer addresses and may be replaced later by `follow_peers`.
+    returns the live instances' peer addresses and may be replaced later with `follow_peers`.
     """
 
     def __init__(
@@ -81,29 +85,32 @@
         self._channels = channels
         self._clock = clock
         self._random = random or Random(settings.instance_id)
-        first = [keeper.address for keeper in settings.keepers]
+        first_keepers = [keeper.address for keeper in settings.keepers]
         self._list_peers = list_peers
         self._sources = ConfigurationSources(
-            self._own_address, [*first, *settings.seeds], self._call_list_peers, self._random
+            self._own_address,
+            [*first_keepers, *settings.seeds],
+            self._call_list_peers,
+            self._random,
         )
         self.keepers = KeeperAccess(self._sources, channels, clock)
         self._applied = AppliedConfiguration(document)
         self._listeners: list[Callable[[Revision, Sequence[ObjectKey]], None]] = []
-        self._heard: dict[str, Revision] = {}
+        self._announced_revisions: dict[str, Revision] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._pulling: dict[str, float] = {}
+        self._pull_started_at: dict[str, float] = {}
         self._loop_task: asyncio.Task[None] | None = None
 
-    # The view
+    # ConfigurationView
 
     def revision(self) -> Revision:
         """Return the revision in force here; it only ever rises."""
         return self._applied.store.revision
 
     def is_configured(self) -> bool:
-        """Tell whether there is a configuration to answer callers by.
+        """Return whether there is a configuration to answer callers with.
 
-        Registered servers alone are none: they are there before the first route is.
+        Registered servers alone don't count: they are known before the first route is.
         """
         document = self._applied.document
         return self.revision() > 0 if document is None else document.document is not None
@@ -120,7 +127,7 @@
         return None if document is None else document.organisations
 
     def may_know(self, service: ServiceName) -> bool:
-        """Tell whether a service is one that the configuration names, or may come to name."""
+        """Return whether the configuration names the service or may still come to name it."""
         document = self._applied.document
         return document is None or document.may_know(service)
 
@@ -142,33 +149,33 @@
         return self._applied.find_profile_name(service)
 
     def find_record(self, key: ObjectKey) -> Record | None:
-        """Return the object as this instance has it, or None when it is retired or unknown."""
+        """Return this instance's record of an object, or None if it is retired or unknown."""
         return self._applied.store.find_live(key)
 
     def list_records(self, kind: ObjectKind) -> tuple[Record, ...]:
-        """List the live objects of a kind as this instance has them, by name."""
+        """List this instance's records of the live objects of a kind, sorted by name."""
         return tuple(sorted(self._applied.store.list_live(kind), key=lambda r: r.key.name))
 
     async def propose(self, change: Change) -> Verdict:
-        """Have a change decided by the keepers; safe to repeat with the same change id.
+        """Propose a change to the keepers; safe to repeat with the same change id.
 
-        Raises UsherError with NO_QUORUM when no leader answered: the outcome is then unknown.
+        Raises UsherError with NO_QUORUM if no leader answered; the outcome is then unknown.
         """
         return await self.keepers.propose(change)
 
-    # Keeping up
+    # Updates
 
     def follow_peers(self, list_peers: Callable[[], Sequence[str]]) -> None:
-        """Take the source of the live instances' peer addresses."""
+        """Set the function that lists the live instances' peer addresses."""
         self._list_peers = list_peers
 
     def on_change(self, listener: Callable[[Revision, Sequence[ObjectKey]], None]) -> None:
-        """Call the listener with the new revision and the objects touched, after each batch."""
+        """Call the listener after each applied batch, with the new revision and touched objects."""
         self._listeners.append(listener)
 
     @property
     def sources(self) -> ConfigurationSources:
-        """Return the known keepers and partners."""
+        """Return the sources: known keepers, seeds and partners."""
         return self._sources
 
     def take(self, batch: Batch) -> None:
@@ -182,17 +189,19 @@
         self._announce()
 
     def hear_revision(self, address: str, revision: Revision) -> None:
-        """Take that the instance at this peer address has a revision; pull if it is newer."""
+        """Record the revision of the instance at this peer address; pull from it if it is newer."""
         if revision > self.revision():
-            self._heard[address] = max(revision, self._heard.get(address, revision))
-            self._pull_heard()
+            self._announced_revisions[address] = max(
+                revision, self._announced_revisions.get(address, revision)
+            )
+            self._pull_announced()
 
     def start(self) -> None:
-        """Begin to pull."""
+        """Start to pull periodically."""
         self._loop_task = start_coroutine(self._run())
 
     def stop(self) -> None:
-        """End all calls."""
+        """Cancel all calls."""
         for task in (self._loop_task, *self._tasks):
             if task is not None:
                 task.cancel()
@@ -203,7 +212,7 @@
         return (ConfigurationService(self),)
 
     def collect_since(self, since: Revision) -> Batch:
-        """Collect what a peer at `since` lacks."""
+        """Return the batch of what a peer at revision `since` lacks."""
         return self._applied.store.collect_since(since)
 
     def _call_list_peers(self) -> Sequence[str]:
@@ -214,38 +223,41 @@
             address = self._sources.choose(self._clock.monotonic())
             if address is not None:
                 self._start_pull(address)
-            self._pull_heard()
+            self._pull_announced()
             mean = PULL_INTERVAL_SECONDS if self.revision() else FIRST_PULL_INTERVAL_SECONDS
             await asyncio.sleep(mean * self._random.uniform(0.5, 1.5))
 
-    def _pull_heard(self) -> None:
-        """Pull what was heard of, one source at a time while that one may still answer.
+    def _pull_announced(self) -> None:
+        """Pull an announced revision, from one source at a time.
 
-        Made for the moment after a change, when every partner tells of it at once: pulling from
-        each would fetch the same batch several times over. A source that hangs holds the others up
-        for `HELD_SECONDS` only.
+        Right after a change, every partner announces it at once, and a pull from each would fetch
+        the same batch several times. A source that hangs delays pulls from others by
+        `HELD_PULL_SECONDS` only.
         """
         now = self._clock.monotonic()
-        if any(now - started < HELD_SECONDS for started in self._pulling.values()):
+        if any(now - started < HELD_PULL_SECONDS for started in self._pull_started_at.values()):
             return
-        self._heard = {a: r for a, r in self._heard.items() if r > self.revision()}
-        for address in self._heard:
+        self._announced_revisions = {
+            a: r for a, r in self._announced_revisions.items() if r > self.revision()
+        }
+        for address in self._announced_revisions:
             if self._start_pull(address):
-                del self._heard[address]
+                del self._announced_revisions[address]
                 return
 
     def _start_pull(self, address: str) -> bool:
-        if address in self._pulling or len(self._pulling) >= CONCURRENT_PULLS:
+        if address in self._pull_started_at or len(self._pull_started_at) >= MAX_CONCURRENT_PULLS:
             return False
-        self._pulling[address] = self._clock.monotonic()
+        self._pull_started_at[address] = self._clock.monotonic()
         self._start_task(self._pull(address))
         return True
 
     async def _pull(self, address: str) -> None:
         """Pull once from an instance.
 
-        A batch with a kind of object that this version doesn't know is refused as a whole: taken
-        without that object it would be passed on without it, and be lost to the peers too.
+        A batch with a kind of object that this version doesn't know is refused as a whole. Were the
+        rest of it applied, this instance would pass it on without that object, and peers would miss
+        the object too.
         """
         try:
             batch = await self._fetch(address)
@@ -260,8 +272,8 @@
             self._sources.report(address, True, self._clock.monotonic())
             self.take(batch)
         finally:
-            self._pulling.pop(address, None)
-        self._pull_heard()
+            self._pull_started_at.pop(address, None)
+        self._pull_announced()
 
     async def _fetch(self, address: str) -> Batch:
         stub = ConfigurationStub(self._channels.get(address))
@@ -314,7 +326,7 @@
             await stream.send_message(part)
 
     async def Announce(self, stream: "Stream[pb.AnnounceRequest, pb.Ack]") -> None:  # noqa: N802
-        """Take a peer's revision and pull from it when it is newer."""
+        """Record a peer's revision, and pull from the peer if it is newer."""
         request = await stream.recv_message()
         assert request is not None
         self._client.hear_revision(request.address, Revision(request.revision))
--- a/packages/node/src/persimmonusher_node/directory.py
+++ b/packages/node/src/persimmonusher_node/directory.py
@@ -1,4 +1,4 @@
-"""The directory of backend servers for the data plane, on top of membership's gossip."""
+"""The data plane's directory of backend servers, based on membership's gossip."""
 
 from collections.abc import Callable
 
@@ -15,8 +15,8 @@
 
     >>> directory = GossipDirectory(membership)  # doctest: +SKIP
 
-    It owns nothing and needs no start: the `UdpMembership` that it is given carries its messages.
-    Draining servers are listed, so that the data plane can tell them from lost ones.
+    It owns no resources and needs no start: the given `UdpMembership` carries its messages.
+    Draining servers are listed, so that the data plane can distinguish them from lost ones.
     """
 
     def __init__(self, membership: UdpMembership) -> None:
@@ -24,11 +24,11 @@
         self._listed: dict[ServiceName, tuple[int, tuple[BackendServer, ...]]] = {}
 
     def announce(self, server: BackendServer) -> bool:
-        """Take an announcement; False when a newer one is known already."""
+        """Record an announcement; return False if a newer one is known already."""
         return self._membership.announce(make_record(server)).accepted
 
     def relays_announcements(self) -> bool:
-        """Tell whether any other instance has answered this one lately."""
+        """Return whether another instance has answered this one lately, or there is none."""
         return self._membership.is_heard()
 
     def list_servers(self, service: ServiceName) -> tuple[BackendServer, ...]:
@@ -43,7 +43,7 @@
         return listed[1]
 
     def version(self, service: ServiceName) -> int:
-        """Return a number that changes whenever `list_servers` would."""
+        """Return a number that changes whenever the result of `list_servers` does."""
         return self._membership.fleet.directory.version(service)
 
     def list_services(self) -> tuple[ServiceName, ...]:
--- a/packages/node/src/persimmonusher_node/fleet.py
+++ b/packages/node/src/persimmonusher_node/fleet.py
@@ -1,4 +1,4 @@
-"""Composes an instance's part in the fleet: keepers, membership, claims, evidence, operators."""
+"""Creates an instance's components: keeper, membership, claims, evidence, operators."""
 
 from collections.abc import Sequence
 from random import SystemRandom
@@ -26,7 +26,7 @@
 
 
 class FleetParts:
-    """Makes the components of one instance and hands each what it needs of the others."""
+    """Creates the components of one instance and connects them with each other."""
 
     def __init__(self, settings: Settings, channels: ChannelPool, clock: Clock) -> None:
         self._settings = settings
@@ -57,7 +57,7 @@
         )
 
     def make(self) -> Parts:
-        """Return the ports' adapters with all components."""
+        """Return the adapters for the data plane's ports, with all components."""
         components: list[Component] = [self.configuration, *self._make_keeper()]
         components += [self.membership, self.claims]
         return Parts(
@@ -125,5 +125,5 @@
     try:
         return role.keeper.replica.is_ready_leader
     except UsherError:
-        # The disk failed: this keeper makes no promises and leads nothing.
+        # After a disk failure the keeper takes no part in the log, so it can't be the leader.
         return False
--- a/packages/node/src/persimmonusher_node/membership.py
+++ b/packages/node/src/persimmonusher_node/membership.py
@@ -1,4 +1,4 @@
-"""Membership over UDP: the adapter that carries out what the state machine decides."""
+"""Membership over UDP: the adapter that carries out the state machine's effects."""
 
 import asyncio
 from collections.abc import Callable
@@ -50,8 +50,8 @@
     `read_revision` returns the configuration revision in force here, and is called at each tick.
     `hear_revision(peer_address, revision)` is called when another instance has a newer one.
     Callbacks added with `on_change` and `on_servers_change` are called where the change is made: on
-    the loop, or in the green thread that announces. None of them may block. Construction opens
-    nothing; `start` binds the socket and needs the loop.
+    the loop, or in the green thread that announces. None of them may block. The constructor opens
+    no socket; `start` binds it and needs the loop.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._on_servers_change: list[Callable[[ServiceName], None]] = []
         self._live: tuple[int, tuple[Instance, ...]] = (-1, ())
         self.dropped_datagrams = 0
-        """Received with a wrong tag or in an unknown version."""
+        """Number of datagrams received with a wrong tag or in an unknown version."""
         self.sent_bytes = 0
         chosen = limits or MembershipLimits(heartbeat_timeout=settings.heartbeat_timeout_seconds)
         own = make_own_record(settings, clock)
@@ -89,11 +89,11 @@
         return self._live[1]
 
     def list_cut_paths(self) -> frozenset[InstanceId]:
-        """List the live instances that answer through others only, for operators."""
+        """List the live instances that answer only through others, for operators."""
         return self.fleet.prober.cut_paths
 
     def is_heard(self) -> bool:
-        """Tell whether any other instance has answered this one lately, or there is none."""
+        """Return whether another instance has answered this one lately, or there is none."""
         return self.fleet.is_heard
 
     def on_change(self, callback: Callable[[], None]) -> None:
@@ -105,17 +105,17 @@
         self._on_servers_change.append(callback)
 
     def announce(self, record: ServerRecord) -> Announced:
-        """Take a backend server's announcement and pass on what others need of it."""
+        """Record a backend server's announcement and send other instances what they need of it."""
         announced, effects = self.fleet.announce(record, self._clock.monotonic())
         self._carry_out(effects)
         return announced
 
     def start(self) -> None:
-        """Bind the socket and start to tick; called in a green thread."""
+        """Bind the socket and start the periodic ticks; called in a green thread."""
         run_coroutine(self._open())
 
     def stop(self) -> None:
-        """Say goodbye to the others and close the socket."""
+        """Announce the departure to other instances and close the socket."""
         if self._transport is None:
             return
         if self._timer is not None:
@@ -126,7 +126,7 @@
         self._transport = None
 
     def receive(self, datagram: bytes, source: str) -> None:
-        """Take a datagram from an `ip:port`; a stranger's is counted and dropped."""
+        """Handle a datagram from an `ip:port`; a wrong tag or version is counted and dropped."""
         try:
             envelope = self._codec.open(datagram)
         except UsherError as error:
@@ -168,8 +168,8 @@
             for callback in self._on_change:
                 callback()
         for service in services:
-            for listener in self._on_servers_change:
-                listener(service)
+            for servers_callback in self._on_servers_change:
+                servers_callback(service)
 
     def _send(self, effect: Send) -> None:
         if self._transport is None:
@@ -194,22 +194,23 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    """Hands datagrams to the adapter."""
+    """Passes datagrams to the adapter."""
 
     def __init__(self, membership: UdpMembership) -> None:
         self._membership = membership
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take one datagram."""
+        """Handle one datagram."""
         self._membership.receive(data, f"{addr[0]}:{addr[1]}")
 
 
 def make_own_record(settings: Settings, clock: Clock) -> MemberRecord:
-    """Describe this instance; its incarnation starts from the wall clock.
+    """Return this instance's record; its incarnation starts from the wall clock in milliseconds.
 
-    Failure: a restart within one fleet must supersede the earlier life. If the wall clock went
-    back meanwhile, the others answer with the earlier life's record, and the refutation goes above
-    it, so the clock only spares that round and decides nothing.
+    After a restart, the new incarnation must supersede the earlier one. If the wall clock went back
+    meanwhile, the other instances answer with the earlier record, and this instance refutes it with
+    a higher incarnation. The clock thus only saves that round trip; correctness does not depend on
+    it.
     """
     return MemberRecord(
         InstanceId(settings.instance_id),
--- a/packages/node/src/persimmonusher_node/membership_wire.py
+++ b/packages/node/src/persimmonusher_node/membership_wire.py
@@ -1,9 +1,10 @@
-"""Datagrams of membership: protobuf behind a keyed tag.
+"""Membership datagrams: a keyed tag followed by a protobuf message.
 
-Failure: a stranger, or an instance of another fleet, sends datagrams to the peer port and adds
-instances or backend servers. It shows as work sent to addresses that nobody announced. The tag is
-BLAKE2b keyed with the peer token, so a datagram from anyone without the token is dropped before it
-is parsed. A datagram recorded and sent again carries old versions, which change nothing.
+Guards against a process outside the fleet, or an instance of another fleet, that sends datagrams to
+the peer port and so adds instances or backend servers. This would show as requests sent to
+addresses that nobody announced. The tag is BLAKE2b keyed with the peer token, so a datagram from a
+sender without the token is dropped before it is parsed. A replayed datagram carries old versions,
+which change nothing.
 """
 
 import hashlib
@@ -29,7 +30,7 @@
 
 TAG_BYTES: Final = 16
 MAX_DATAGRAM_BYTES: Final = 1400
-"""Fits the usual 1,500 bytes of a link with headers, so no datagram is split on its way."""
+"""With headers this fits into the usual MTU of 1,500 bytes, so no datagram is fragmented."""
 KEY_DOMAIN: Final = b"persimmonusher membership 1\x00"
 
 
@@ -76,7 +77,7 @@
 
 
 def decode_envelope(message: pb.Envelope) -> messages.Envelope:
-    """Return the envelope of a protobuf message; ValueError where a part is unknown."""
+    """Return the envelope of a protobuf message; raise ValueError if a part of it is unknown."""
     field = message.WhichOneof("body")
     if field is None:
         raise ValueError("it has no body that is known here")
@@ -167,7 +168,7 @@
 
 
 def _encode_fields(kind: Callable[..., Any]) -> Callable[[Any], Any]:
-    """Encode a body whose fields have the same names and types in both forms."""
+    """Return an encoder for bodies whose fields have the same names and types in both forms."""
     return lambda body: kind(**vars(body))
 
 
--- a/packages/node/src/persimmonusher_node/memory.py
+++ b/packages/node/src/persimmonusher_node/memory.py
@@ -1,4 +1,4 @@
-"""The ports held in one process, for tests and for an instance that runs alone."""
+"""The ports implemented in one process, for tests and for an instance that runs alone."""
 
 from collections import Counter, OrderedDict
 from collections.abc import Mapping, Sequence
@@ -19,8 +19,8 @@
     StoredAnswer,
 )
 
-_GONE: Final = frozenset({ServerState.STOPPED})
-KEPT_CLAIMS: Final = 10_000
+_UNLISTED_STATES: Final = frozenset({ServerState.STOPPED})
+MAX_CLAIMS: Final = 10_000
 
 
 class MemoryConfiguration(ConfigurationView):
@@ -34,7 +34,7 @@
         self.number = Revision(1)
 
     def revision(self) -> Revision:
-        """Return the number that the test set."""
+        """Return the number, which a test may set."""
         return self.number
 
     def find_service(self, host: str, path: str) -> ServiceName | None:
@@ -49,14 +49,14 @@
 
 
 class MemoryDirectory(ServerDirectory):
-    """The servers announced to this instance; none is ever taken as lost."""
+    """The servers announced to this instance; none ever counts as lost."""
 
     def __init__(self) -> None:
         self._servers: dict[ServerId, BackendServer] = {}
         self._versions: Counter[ServiceName] = Counter()
 
     def announce(self, server: BackendServer) -> bool:
-        """Take an announcement that is newer than the one known."""
+        """Record the announcement if it is newer than the known one; return whether it is."""
         known = self._servers.get(server.server_id)
         if known is not None and known.freshness >= server.freshness:
             return False
@@ -65,15 +65,15 @@
         return True
 
     def list_servers(self, service: ServiceName) -> Sequence[BackendServer]:
-        """List the service's servers but the stopped ones."""
+        """List the service's servers except stopped ones."""
         return [
             server
             for server in self._servers.values()
-            if server.service == service and server.state not in _GONE
+            if server.service == service and server.state not in _UNLISTED_STATES
         ]
 
     def version(self, service: ServiceName) -> int:
-        """Return the number of announcements taken for the service."""
+        """Return the number of announcements recorded for the service."""
         return self._versions[service]
 
 
@@ -84,12 +84,12 @@
         self.instances = list(instances)
 
     def list_live(self) -> Sequence[Instance]:
-        """List them."""
+        """List the fixed instances."""
         return self.instances
 
 
 class MemoryClaims(KeyClaims):
-    """Claims of one process: right only while there is one entry."""
+    """Claims of one process, correct only while there is a single entry."""
 
     def __init__(self) -> None:
         self._claims: OrderedDict[ClaimKey, tuple[str, ClaimResult]] = OrderedDict()
@@ -97,17 +97,17 @@
     def claim(
         self, key: ClaimKey, fingerprint: str, window_seconds: float, pending_seconds: float
     ) -> ClaimResult:
-        """Grant a key that is not claimed."""
-        held = self._claims.get(key)
-        if held is None:
+        """Grant the key if it is not claimed; beyond `MAX_CLAIMS`, forget the oldest claim."""
+        existing = self._claims.get(key)
+        if existing is None:
             self._claims[key] = (fingerprint, ClaimResult(ClaimStatus.RUNNING))
-            if len(self._claims) > KEPT_CLAIMS:
+            if len(self._claims) > MAX_CLAIMS:
                 self._claims.popitem(last=False)
             return ClaimResult(ClaimStatus.GRANTED)
-        return held[1] if held[0] == fingerprint else ClaimResult(ClaimStatus.MISMATCH)
+        return existing[1] if existing[0] == fingerprint else ClaimResult(ClaimStatus.MISMATCH)
 
     def finish(self, key: ClaimKey, answer: StoredAnswer) -> None:
-        """Keep the answer."""
+        """Store the answer."""
         self._settle(key, ClaimResult(ClaimStatus.FINISHED, answer))
 
     def release(self, key: ClaimKey) -> None:
@@ -115,10 +115,10 @@
         self._claims.pop(key, None)
 
     def give_up(self, key: ClaimKey) -> None:
-        """Keep that the outcome is unknown."""
+        """Record that the outcome is unknown."""
         self._settle(key, ClaimResult(ClaimStatus.UNKNOWN))
 
     def _settle(self, key: ClaimKey, result: ClaimResult) -> None:
-        held = self._claims.get(key)
-        if held is not None:
-            self._claims[key] = (held[0], result)
+        existing = self._claims.get(key)
+        if existing is not None:
+            self._claims[key] = (existing[0], result)
--- a/packages/node/src/persimmonusher_node/roster.py
+++ b/packages/node/src/persimmonusher_node/roster.py
@@ -1,4 +1,4 @@
-"""The committed roster as this instance sees it, and its upkeep by the keepers' leader."""
+"""Reads the committed roster; on the keepers' leader, proposes the next one."""
 
 import asyncio
 import uuid
@@ -26,18 +26,18 @@
 
 ROSTER_KEY: Final = ObjectKey(ObjectKind.ROSTER, ROSTER_NAME)
 OPERATOR: Final = "persimmonusher"
-"""The author of changes that the system makes itself."""
-PLAN_SECONDS: Final = 1.0
+"""Operator name in changes that the system proposes itself."""
+PLAN_INTERVAL_SECONDS: Final = 1.0
 CALL_TIMEOUT_SECONDS: Final = 0.5
-CALLS_AT_ONCE: Final = 64
+MAX_CONCURRENT_CALLS: Final = 64
 _CALL_FAILURES: Final = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
 SETTLE_SECONDS: Final = 3.0
-"""Time for which the live instances must stay the same before they become the roster, so that a
-starting or restarting fleet gives one version and not one for each instance."""
+"""Time for which the live instances must stay the same before they become the roster, so that the
+start or restart of a fleet makes one version and not one for each instance."""
 
 
 class RosterReader:
-    """Decodes the roster in force once for each version."""
+    """Reads the roster in force, and decodes each version only once."""
 
     def __init__(self, configuration: ConfigurationClient) -> None:
         self._configuration = configuration
@@ -45,7 +45,7 @@
         self._roster: Roster | None = None
 
     def find(self) -> Roster | None:
-        """Return the roster in force here, or None before the first."""
+        """Return the roster in force here, or None before the first one."""
         record = self._configuration.find_record(ROSTER_KEY)
         if record is not self._record:
             self._record = record
@@ -55,7 +55,7 @@
 
     @property
     def revision(self) -> Revision:
-        """Return the configuration revision that brought the roster, 0 before the first."""
+        """Return the configuration revision of the roster's record; 0 before the first roster."""
         self.find()
         return self._record.revision if self._record is not None else Revision(0)
 
@@ -63,8 +63,8 @@
 class RosterKeeper(Component):
     """Proposes the next roster; runs on every keeper and acts only on the leader.
 
-    Every live instance is asked for the boot and roster of its register, but only while the live
-    instances differ from the roster, so that a fleet at rest costs nothing.
+    It reads the boot and roster version of every live instance's register, but only while the live
+    instances differ from the roster, so that a fleet without changes costs nothing.
     """
 
     def __init__(
@@ -89,38 +89,42 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to plan."""
+        """Start to plan periodically."""
         self._task = start_coroutine(self._run())
 
     def stop(self) -> None:
-        """End planning; the next leader starts its waits anew."""
+        """End planning; the next leader starts its own waiting times."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(PLAN_SECONDS)
+            await asyncio.sleep(PLAN_INTERVAL_SECONDS)
             if not self._is_leader():
                 continue
             roster = self._reader.find()
             live = self._membership.list_live()
             if roster is not None and _lists_all(roster, live):
                 continue
-            seen = await self._observe(live)
+            observations = await self._observe(live)
             now = self._clock.monotonic()
-            planned = self._planner.plan(roster, seen, self._longest_window, now)
+            planned = self._planner.plan(roster, observations, self._longest_window, now)
             if planned is not None:
                 await self._propose(planned)
 
     async def _observe(self, live: Sequence[Instance]) -> list[Observation]:
-        bound = asyncio.Semaphore(CALLS_AT_ONCE)
-        answers = await asyncio.gather(*(self._ask(instance, bound) for instance in live))
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        answers = await asyncio.gather(
+            *(self._read_register_state(instance, semaphore) for instance in live)
+        )
         return [answer for answer in answers if answer is not None]
 
-    async def _ask(self, instance: Instance, bound: asyncio.Semaphore) -> Observation | None:
+    async def _read_register_state(
+        self, instance: Instance, semaphore: asyncio.Semaphore
+    ) -> Observation | None:
         stub = ClaimsStub(self._channels.get(instance.peer_address))
-        async with bound:
+        async with semaphore:
             try:
                 state = await stub.Describe(pb.DescribeRequest(), timeout=CALL_TIMEOUT_SECONDS)
             except _CALL_FAILURES:
--- a/packages/node/tests/test_claims_fleet.py
+++ b/packages/node/tests/test_claims_fleet.py
@@ -85,7 +85,7 @@
         return self.nodes[name]
 
     def lose(self, name: InstanceId) -> None:
-        """End an instance's listener and the connection that the first instance has to it."""
+        """Stop an instance's listener, and close the first instance's connection to it."""
         self.nodes[name].listener.stop()
         address = next(one.peer_address for one in self.instances if one.instance_id == name)
         self.nodes[NAMES[0]].channels.forget(address)
@@ -107,7 +107,8 @@
         self.assertEqual(other.status, ClaimStatus.MISMATCH)
 
     def test_resends_at_the_same_moment_are_granted_once(self) -> None:
-        # A breeder presses twice, and the balancer hands both requests to different instances.
+        # Guards against two dispatches when a caller resends at once and the load balancer passes
+        # the requests to different instances.
         for number in range(20):
             key = ClaimKey(KEY.service, KEY.caller, f"entry-{number}")
             claims = [eventlet.spawn(self.nodes[name].claim, key) for name in NAMES]
@@ -137,8 +138,8 @@
         self.assertEqual(self.nodes[NAMES[0]].claim(other).status, ClaimStatus.NO_QUORUM)
 
     def test_a_rolling_restart_forgets_no_claim(self) -> None:
-        # A fleet is updated instance by instance; a fee paid before is paid again after, since
-        # each restarted register had come back empty.
+        # Guards against registers that come back empty from a rolling update: a request that ran
+        # before the update, such as the payment of a fee, would run again on a resend.
         self.nodes[NAMES[0]].claim()
         self.nodes[NAMES[0]].claims.finish(KEY, ANSWER)
         eventlet.sleep(0.2)
@@ -148,8 +149,8 @@
         self.assertEqual((resent.status, resent.answer), (ClaimStatus.FINISHED, ANSWER))
 
     def test_a_restart_of_all_at_once_refuses_rather_than_runs_again(self) -> None:
-        # The power fails for all instances. Nobody can tell what was claimed before, so a keyed
-        # request is refused as not run until the longest window has passed.
+        # All instances lose power at once. No register knows what was claimed before, so a keyed
+        # request must be refused as not run until the longest window has passed.
         self.nodes[NAMES[0]].claim()
         for name in NAMES:
             self.nodes[name].stop()
--- a/packages/node/tests/test_membership.py
+++ b/packages/node/tests/test_membership.py
@@ -69,13 +69,15 @@
         port = self.seed if number == 0 else find_port(socket.SOCK_DGRAM)
         settings = make_settings(number, port, self.seed, token)
 
-        def hear(address: str, revision: Revision) -> None:
+        def record_revision(address: str, revision: Revision) -> None:
             self.heard.append((address, revision))
 
-        def read() -> Revision:
+        def read_revision() -> Revision:
             return Revision(self.revisions[number % 5])
 
-        node = UdpMembership(settings, SystemClock(), Random(number), read, hear)
+        node = UdpMembership(
+            settings, SystemClock(), Random(number), read_revision, record_revision
+        )
         self.addCleanup(node.stop)
         return node
 
@@ -118,8 +120,8 @@
 
     def test_a_stranger_is_dropped(self) -> None:
         """
-        A process without the peer token sends a well-formed introduction to the peer port, as a
-        misdirected instance of another fleet would. Nobody may see it among the instances.
+        A process without the peer token sends a well-formed join to the peer port, as a
+        misconfigured instance of another fleet would. No instance may list it.
         """
         self.start_all()
         stranger = self.make_node(9, "other secret")
--- a/packages/node/tests/test_membership_wire.py
+++ b/packages/node/tests/test_membership_wire.py
@@ -95,8 +95,8 @@
 
     def test_a_changed_or_foreign_datagram_is_refused(self) -> None:
         """
-        An instance of another fleet, a damaged link or an attacker sends a datagram. Taken in, it
-        could add an instance, or bring back a server that stopped.
+        An instance of another fleet, a damaged link or an attacker sends a datagram. If accepted,
+        it could add an instance, or bring back a server that stopped.
         """
         datagram = self.codec.seal(wrap(messages.Ping(1), (SERVER_RECORD,)))
         damaged = bytes([*datagram[:-1], datagram[-1] ^ 1])
--- a/packages/node/tests/test_peers.py
+++ b/packages/node/tests/test_peers.py
@@ -23,7 +23,7 @@
 
 
 class SilentRelay:
-    """A relay whose open connections can go silent for good, without being closed."""
+    """A TCP relay whose open connections can stop passing data for good without being closed."""
 
     def __init__(self, target: tuple[str, int]) -> None:
         self._target = target
@@ -86,8 +86,9 @@
         return loop.run_coroutine(link.claim(request, 0.1))
 
     def test_a_connection_that_went_silent_is_replaced(self) -> None:
-        # After a cut of the network has healed, keyed requests go on being refused for minutes:
-        # the old connections wait for TCP's next try, and nothing opens new ones.
+        # Guards against keyed requests that are still refused for minutes after a network
+        # partition has healed: the old connections wait for TCP's next retransmission, and nothing
+        # opens new ones.
         link = self.make_link(keepalive_seconds=0.3)
         vote = self.claim(link, "t0")
         assert vote is not None
