--- a/packages/node/src/persimmonusher_node/clock.py
+++ b/packages/node/src/persimmonusher_node/clock.py
@@ -10,10 +10,10 @@
     """The clocks of the machine that the process runs on."""
 
     def monotonic(self) -> float:
-        """Return the seconds since the machine started, those in which it was suspended included.
+        """Return the seconds since the machine started, including those while it was suspended.
 
-        Without them, what is known would be as fresh after a suspension as before it, and a
-        deadline that has passed meanwhile would seem to be still ahead.
+        Without them, state would look as fresh after a suspension as before it, and a deadline that
+        passed meanwhile would seem to lie ahead.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/packages/node/src/persimmonusher_node/collector.py
+++ b/packages/node/src/persimmonusher_node/collector.py
@@ -1,29 +1,30 @@
-"""Python's garbage collector, set so that its pauses stay out of the requests' way."""
+"""Settings of Python's garbage collector that keep its pauses from delaying requests."""
 
 import gc
 from typing import Final
 
-THRESHOLDS: Final = (50_000, 20, 50)
-"""Objects between collections of the youngest, and collections between those of the older ones."""
+GENERATION_THRESHOLDS: Final = (50_000, 20, 50)
+"""Arguments of `gc.set_threshold`: allocations between collections of the youngest generation, then
+collections between those of each older one."""
 
 
 def rest_collector() -> None:
-    """Collect nothing until `calm_collector`; call it before the modules are loaded.
+    """Disable collections until `calm_collector`; call it before the modules are loaded.
 
-    What loading makes stays, so that collections find nothing. They lengthen the start, in which
-    every caller of a killed instance loses its request.
+    Objects made by loading modules stay in use, so collections would free nothing. They would only
+    lengthen the start, during which every caller of a killed instance loses its request.
     """
     gc.disable()
 
 
 def calm_collector() -> None:
-    """Leave what is loaded out of all collections, and collect seldom; call it once, at the start.
+    """Exclude loaded modules from all collections, and collect seldom; call it once, at the start.
 
-    The failure it is for: a full collection walks all loaded modules, and every request waits
-    meanwhile, every few seconds under load; it shows as a p99 that nothing on the path
-    explains. Nearly all garbage of a request is freed by reference counts; what waits for the
-    collector are cycles, which the thresholds bound.
+    Guards against full collections that walk all loaded modules while every request waits, every
+    few seconds under load; this shows as a p99 latency that nothing on the path explains. Nearly
+    all garbage of a request is freed by reference counts; the thresholds bound the cycles that
+    wait for the collector.
     """
     gc.freeze()
     gc.enable()
-    gc.set_threshold(*THRESHOLDS)
+    gc.set_threshold(*GENERATION_THRESHOLDS)
--- a/packages/node/src/persimmonusher_node/component.py
+++ b/packages/node/src/persimmonusher_node/component.py
@@ -1,4 +1,4 @@
-"""A part of the daemon that owns what it starts and ends it when its context is left."""
+"""The interface of the daemon's parts; each ends what it started when its context is left."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
     """A context manager that may also serve calls from peers and operators.
 
     The daemon collects the handlers of all components, starts one server for each listener, and
-    then enters the components in order; it leaves them in the reverse order.
+    then enters the components in order. It leaves them in reverse order.
     """
 
     def list_peer_handlers(self) -> Sequence[IServable]:
@@ -29,7 +29,7 @@
 
     @abstractmethod
     def stop(self) -> None:
-        """End background work and release what is owned; safe to call twice."""
+        """End background work and release resources; safe to call twice."""
 
     def __enter__(self) -> Self:
         self.start()
--- a/packages/node/src/persimmonusher_node/daemon.py
+++ b/packages/node/src/persimmonusher_node/daemon.py
@@ -41,10 +41,11 @@
         self._components: tuple[Component, ...] = (*parts.components, *more)
 
     def run(self, stop: StopSignal) -> bool:
-        """Serve until the stop signal, then stop gracefully; tell whether nothing was cut off.
+        """Serve until the stop signal, then stop gracefully; return True if nothing was cut off.
 
-        Components, membership among them, end only after the last request: until then peers still
-        find this instance's register of claims, and its share of connections stays counted.
+        Components, membership among them, end only after the last request. Until then peers still
+        reach this instance's register of claims, and count it among the entries that share the
+        backend servers' connection limits.
         """
         settings = self._settings
         listen = settings.listen
@@ -84,7 +85,7 @@
 
 
 def make_listener_limits(limits: Limits) -> ListenerLimits:
-    """Return the callers' listener's part of the settings."""
+    """Return the limits of the callers' listener from the settings."""
     return ListenerLimits(
         limits.connections,
         limits.idle_seconds,
@@ -95,7 +96,7 @@
 
 
 def start_http(stack: ExitStack, address: str, application: Callable[..., Any]) -> None:
-    """Serve an application on an address until the stack is left."""
+    """Serve an application on an address until the stack is closed."""
     listener = HttpListener(address, application)
     listener.start()
     stack.callback(listener.abort)
--- a/packages/node/src/persimmonusher_node/grpc_listener.py
+++ b/packages/node/src/persimmonusher_node/grpc_listener.py
@@ -1,4 +1,4 @@
-"""A gRPC listener on the one loop, closed to calls without a token."""
+"""A gRPC listener on the shared event loop; it refuses calls without a token."""
 
 from collections.abc import Mapping, Sequence
 
@@ -20,7 +20,7 @@
         require_token(self._server, names_by_token)
 
     def start(self) -> None:
-        """Begin to accept; raise OSError that names the address."""
+        """Start to accept; raise an OSError that names the address if it can't be bound."""
         host, _, port = self._address.rpartition(":")
         run_coroutine(self._server.start(host, int(port)))
 
--- a/packages/node/src/persimmonusher_node/line_budget.py
+++ b/packages/node/src/persimmonusher_node/line_budget.py
@@ -4,33 +4,33 @@
 
 from persimmonusher_model.clock import Clock
 
-LINES_A_SECOND: Final = 50
+MAX_LINES_PER_SECOND: Final = 50
 """Few enough that writing them takes no noticeable part of an instance's time."""
 
 
 class LineBudget:
-    """Grants so many lines in each second, and counts those that it didn't grant.
+    """Grants a limited number of log lines in each second, and counts those that it refuses.
 
-    The load it is for: an overload or a fault in which most requests have something to tell. The
-    harm: telling it would keep the instance overloaded. The next line after a full second says how
-    many were left out, and the metrics count them all.
+    Guards against an overload or a fault in which most requests have something to log: writing all
+    of it would keep the instance overloaded. The next line that is granted says how many were left
+    out, and the metrics still count every request.
     """
 
-    def __init__(self, clock: Clock, lines_a_second: int = LINES_A_SECOND) -> None:
+    def __init__(self, clock: Clock, lines_per_second: int = MAX_LINES_PER_SECOND) -> None:
         self._clock = clock
-        self._lines_a_second = lines_a_second
+        self._lines_per_second = lines_per_second
         self._second = 0
         self._lines = 0
         self._left_out = 0
 
     def take(self) -> bool:
-        """Take a line; False where this second has had its lines."""
+        """Return whether another line may be written in this second, and count it."""
         second = int(self._clock.monotonic())
         if second != self._second:
             self._second = second
             self._lines = 0
         self._lines += 1
-        if self._lines > self._lines_a_second:
+        if self._lines > self._lines_per_second:
             self._left_out += 1
             return False
         return True
--- a/packages/node/src/persimmonusher_node/log_pipe.py
+++ b/packages/node/src/persimmonusher_node/log_pipe.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output, without ever waiting for whoever reads them."""
+"""Writes log lines to standard output without ever waiting for their reader."""
 
 import os
 import sys
@@ -6,52 +6,52 @@
 
 from eventlet.patcher import original
 
-LONGEST_LINE: Final = 4_096
-"""Bytes. The system writes this much to a pipe whole or not at all, so that a full pipe never cuts
-a line in two."""
+MAX_LINE_BYTES: Final = 4_096
+"""Longest line. The system writes this many bytes to a pipe completely or not at all, so a full
+pipe never truncates a line."""
 
 
 class LogPipe:
-    """A file for structlog; a line that the pipe has no room for is dropped and counted.
+    """A file for structlog; lines that the pipe has no room for are dropped and counted.
 
-    Guards against a reader that stopped: written as usual, the next line would block the one thread
-    that also answers callers. The count goes out with the first line that finds room again.
+    Guards against a reader that has stopped: a blocking write would then block the one thread that
+    also answers callers. The count is written before the first line that finds room again.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        # The patched module would wait for room.
+        # The function as patched by eventlet would wait for room.
         self._write = original("os").write
         self._dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write one line, which ends with a line break; never waits."""
+        """Write one line, which must end with a line break; never waits."""
         line = text.encode()
-        if len(line) > LONGEST_LINE:
-            line = line[: LONGEST_LINE - 2] + b"~\n"
-        if self._dropped and self._put(self._describe_dropped()):
+        if len(line) > MAX_LINE_BYTES:
+            line = line[: MAX_LINE_BYTES - 2] + b"~\n"
+        if self._dropped and self._write_line(self._describe_dropped()):
             self._dropped = 0
-        if self._dropped or not self._put(line):
+        if self._dropped or not self._write_line(line):
             self._dropped += 1
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: nothing is held back."""
+        """Do nothing: lines are not buffered."""
 
     def _describe_dropped(self) -> bytes:
         return b'{"event": "log-lines-dropped", "count": %d}\n' % self._dropped
 
-    def _put(self, line: bytes) -> bool:
+    def _write_line(self, line: bytes) -> bool:
         try:
             self._write(self._descriptor, line)
         except OSError:
-            # Nobody reads, or nobody is left to read; there is no other place to say so.
+            # The pipe is full or its reader is gone; there is no other place to report it.
             return False
         return True
 
 
 def open_standard_output() -> LogPipe:
-    """Return the pipe on the process's standard output."""
+    """Return a `LogPipe` on the process's standard output."""
     sys.stdout.flush()
     return LogPipe(sys.stdout.fileno())
--- a/packages/node/src/persimmonusher_node/logs.py
+++ b/packages/node/src/persimmonusher_node/logs.py
@@ -1,6 +1,6 @@
 """Logs by structlog, as JSON lines or for a console; never bodies, tokens or header values.
 
-They go to standard output; `log_pipe` says what happens when nobody reads them.
+They go to standard output; `log_pipe` describes what happens if they are not read.
 """
 
 import logging
@@ -21,14 +21,14 @@
 from persimmonusher_node.settings import Settings
 
 SECRET_KEYS: Final = frozenset({"token", "peer_token", "operator_tokens", "body", "headers", "key"})
-"""Fields that are masked wherever they turn up, should a later log call name one."""
-PLAIN_STEPS: Final = 2
-"""A dispatch and its outcome."""
+"""Fields that are masked in every log line, in case a log call names one by mistake."""
+MAX_UNEVENTFUL_STEPS: Final = 2
+"""Decision steps of an uneventful request: a dispatch and its outcome."""
 MASK: Final = "(hidden)"
 
 
 def configure_logs(settings: Settings) -> None:
-    """Set structlog up for the process, with the instance's id on every line."""
+    """Configure structlog for the process, with the instance's id on every line."""
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if settings.log_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=sys.stdout.isatty())
@@ -50,7 +50,7 @@
 
 
 def name_instance(instance_id: str) -> structlog.typing.Processor:
-    """Return a processor that puts the instance on each line, whichever green thread writes it."""
+    """Return a processor that adds the instance's id to each line, in every green thread."""
 
     def add(
         logger: object, method: str, event: structlog.typing.EventDict
@@ -71,12 +71,12 @@
 
 
 class LoggingObserver(RequestObserver):
-    """Logs finished requests: what wasn't served, or needed more than one attempt, as info.
+    """Logs finished requests: uneventful ones (see `is_uneventful`) as debug, all others as info.
 
-    The rest is logged as debug. Each line holds every decision on the request with its inputs: the
-    server, the time since the request arrived, the reason, and the configuration's revision.
+    Each line holds every decision on the request with its inputs: the server, the time since the
+    request arrived, the reason, and the configuration's revision.
 
-    `LineBudget` bounds their number.
+    `LineBudget` bounds the number of lines.
     """
 
     def __init__(self, clock: Clock, level: str) -> None:
@@ -85,12 +85,12 @@
         self._is_debug = level == "debug"
 
     def observe(self, finished: FinishedRequest) -> None:
-        """Write one line, unless the level is filtered or the second has its lines."""
-        is_plain = is_uneventful(finished)
-        if is_plain and not self._is_debug:
+        """Write one line, unless the log level excludes it or the line budget is used up."""
+        is_debug_line = is_uneventful(finished)
+        if is_debug_line and not self._is_debug:
             return
         if self._budget.take():
-            self._write(finished, self._log.debug if is_plain else self._log.info)
+            self._write(finished, self._log.debug if is_debug_line else self._log.info)
 
     def _write(self, finished: FinishedRequest, write: Callable[..., Any]) -> None:
         record = finished.record
@@ -115,17 +115,17 @@
 
 
 def is_uneventful(finished: FinishedRequest) -> bool:
-    """Tell whether a request was served by its first server, by a fresh configuration."""
+    """Return whether a request was served by its first server under a fresh configuration."""
     freshness = finished.record.freshness
     if freshness is not None and freshness.is_late:
         return False
     if finished.outcome is not CallerOutcome.RAN or finished.code is not None:
         return False
-    return finished.record.status < 500 and len(finished.record.steps) <= PLAIN_STEPS
+    return finished.record.status < 500 and len(finished.record.steps) <= MAX_UNEVENTFUL_STEPS
 
 
 def describe_freshness(freshness: Freshness | None) -> dict[str, Any]:
-    """Return the fields of a line that say how old the configuration was; none where unknown."""
+    """Return the log fields for the age of the configuration; none if the age is unknown."""
     if freshness is None:
         return {}
     return {
@@ -136,6 +136,6 @@
 
 
 def describe_step(step: DecisionStep) -> str:
-    """Write a step as one word of a line, such as `0.0003 dispatch s7: attempt 1`."""
+    """Return a step as text, such as `0.0003 dispatch s7: attempt 1`."""
     place = f" {step.server}" if step.server else ""
     return f"{step.after:.4f} {step.step}{place}: {step.reason}"
--- a/packages/node/src/persimmonusher_node/loop.py
+++ b/packages/node/src/persimmonusher_node/loop.py
@@ -1,7 +1,7 @@
-"""The one loop on one thread: eventlet on its asyncio hub.
+"""The process's only event loop, on one thread: eventlet on its asyncio hub.
 
 `install` must run before any other module of the process uses eventlet, sockets or threads.
-Green threads (WSGI, urllib3) and coroutines (grpclib, UDP) then share the loop: a green thread
+Green threads (WSGI, urllib3) and coroutines (grpclib, UDP) then share the loop. A green thread
 waits for a coroutine with `run_coroutine`; a coroutine must never call code that blocks a green
 thread.
 """
@@ -17,8 +17,8 @@
 def install() -> None:
     """Choose the asyncio hub and patch the standard library for green threads.
 
-    eventlet's resolver of names is left out, as all addresses are IP numbers: loading it lengthens
-    an entry's start, during which its callers are lost.
+    eventlet's DNS resolver is left out, since all addresses are IP numbers: loading it would
+    lengthen an entry's start, during which its callers lose their requests.
     """
     os.environ.setdefault("EVENTLET_NO_GREENDNS", "yes")
     import eventlet.hubs
@@ -30,8 +30,9 @@
 def run_coroutine(coroutine: Coroutine[Any, Any, T]) -> T:
     """Wait in a green thread for a coroutine's result; its exception is raised here.
 
-    The exception travels as a value: raised through eventlet's bridge it would also be printed,
-    with its whole stack, for each operator who asks a keeper without a majority.
+    The exception is passed as a value: if it were raised through eventlet's asyncio bridge, it
+    would also be printed with its whole stack, for each operator's call to a keeper without a
+    majority.
     """
     import eventlet.asyncio
 
--- a/packages/node/src/persimmonusher_node/main.py
+++ b/packages/node/src/persimmonusher_node/main.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from persimmonusher_node.settings import Settings
 
-CHECK_FAILED: Final = 2
-"""Exit code for settings that were refused."""
-CUT_OFF: Final = 3
-"""Exit code of a stop that had to cut off a connection."""
+SETTINGS_REFUSED_EXIT: Final = 2
+"""Exit code if the settings were refused."""
+CUT_OFF_EXIT: Final = 3
+"""Exit code if the stop had to cut off a connection."""
 
 app = typer.Typer(name="persimmonusher", no_args_is_help=True, pretty_exceptions_show_locals=False)
 
@@ -29,14 +29,14 @@
     from persimmonusher_node.process import run_instance
 
     try:
-        whole = run_instance(settings)
+        is_graceful = run_instance(settings)
     except UsherError as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(CHECK_FAILED) from error
+        raise typer.Exit(SETTINGS_REFUSED_EXIT) from error
     except OSError as error:
         typer.echo(f"persimmonusher: {error}", err=True)
         raise typer.Exit(1) from error
-    raise typer.Exit(0 if whole else CUT_OFF)
+    raise typer.Exit(0 if is_graceful else CUT_OFF_EXIT)
 
 
 @app.command("check-settings")
@@ -55,15 +55,15 @@
         return load_settings(path)
     except UsherError as error:
         typer.echo(str(error), err=True)
-        raise typer.Exit(CHECK_FAILED) from error
+        raise typer.Exit(SETTINGS_REFUSED_EXIT) from error
 
 
 def main() -> None:
     """Run the command line.
 
-    The loop is chosen before typer runs: eventlet patches what is loaded, and fails on pydantic,
-    which typer loads with the first command. docs/design/data-plane.md says why a library that
-    calls itself deprecated is used.
+    The loop is installed before typer runs: eventlet patches loaded modules, and fails on pydantic,
+    which typer loads with the first command. docs/design/data-plane.md explains why a library that
+    declares itself deprecated is used.
     """
     warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
     loop.install()
--- a/packages/node/src/persimmonusher_node/metrics.py
+++ b/packages/node/src/persimmonusher_node/metrics.py
@@ -1,9 +1,9 @@
 """Metrics by aioprometheus, on a listener of their own.
 
 Label sets are bounded: services come from the configuration, reasons and outcomes from enums, and
-a service has at most `CLASSES_PER_SERVICE` classes; callers, of whom there may be a million, are
-no label. Counts are held in plain dictionaries and handed to the library at each scrape, which
-keeps its label checks out of the path of a request.
+a service has at most `CLASSES_PER_SERVICE` classes. Callers are no label, since there may be a
+million of them. Counts are held in plain dictionaries and passed to the library at each scrape, so
+that its label checks don't slow down requests.
 """
 
 from abc import ABC, abstractmethod
@@ -22,14 +22,41 @@
 CLASSES_PER_SERVICE: Final = 16
 OTHER_CLASS: Final = "other"
 """The class of requests beyond the first `CLASSES_PER_SERVICE` classes of a service."""
-WHOLE_BUCKETS: Final = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
-ADDED_BUCKETS: Final = (0.0005, 0.001, 0.002, 0.003, 0.0045, 0.0059, 0.01, 0.02, 0.05, 0.2, 1.0)
-"""Dense around 5.9 ms, the bound on what an instance may add for 99 requests in 100."""
+REQUEST_SECONDS_BUCKETS: Final = (
+    0.002,
+    0.005,
+    0.01,
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.5,
+    1.0,
+    2.0,
+    5.0,
+    10.0,
+    30.0,
+)
+ADDED_SECONDS_BUCKETS: Final = (
+    0.0005,
+    0.001,
+    0.002,
+    0.003,
+    0.0045,
+    0.0059,
+    0.01,
+    0.02,
+    0.05,
+    0.2,
+    1.0,
+)
+"""Seconds. Dense around 5.9 ms, the bound on the time that an instance may add to 99 requests in
+100."""
 
 
 @dataclass(frozen=True)
 class InstanceGauges:
-    """What is measured at the moment of a scrape."""
+    """Values that are read at each scrape."""
 
     in_flight: int
     caller_connections: int
@@ -38,13 +65,13 @@
     servers_taking_work: dict[ServiceName, int]
     servers_left_out: dict[ServiceName, int]
     configuration_age_seconds: float = 0.0
-    """0 where it isn't known."""
+    """0 if the age isn't known."""
     servers_limited: dict[ServiceName, int] = field(default_factory=dict)
     servers_resting: dict[ServiceName, int] = field(default_factory=dict)
 
 
 class MetricsSource(ABC):
-    """What a metrics listener serves."""
+    """A source of the metrics that a metrics listener serves."""
 
     @abstractmethod
     def render(self) -> bytes:
@@ -58,17 +85,17 @@
         self._read_gauges = read_gauges
         self._registry = Registry()
         registry = self._registry
-        self._whole = Histogram(
+        self._request_seconds = Histogram(
             "persimmonusher_request_seconds",
             "From a request's arrival to its answer.",
             registry=registry,
-            buckets=WHOLE_BUCKETS,
+            buckets=REQUEST_SECONDS_BUCKETS,
         )
-        self._added = Histogram(
+        self._added_seconds = Histogram(
             "persimmonusher_added_seconds",
             "The part of it not spent on a backend server, waiting in the queue included.",
             registry=registry,
-            buckets=ADDED_BUCKETS,
+            buckets=ADDED_SECONDS_BUCKETS,
         )
         self._requests = Counter(
             "persimmonusher_requests_total", "Requests by outcome and code.", registry=registry
@@ -89,9 +116,9 @@
     def observe(self, finished: FinishedRequest) -> None:
         """Count one request."""
         record = finished.record
-        whole, added = self._find_buckets(record.service, record.request_class)
-        whole.observe(finished.whole)
-        added.observe(max(0.0, finished.whole - finished.server))
+        request_buckets, added_buckets = self._find_buckets(record.service, record.request_class)
+        request_buckets.observe(finished.whole)
+        added_buckets.observe(max(0.0, finished.whole - finished.server))
         code = "" if finished.code is None else finished.code.value
         self._request_tally[record.service, finished.outcome.value, code] += 1
         for step in record.steps:
@@ -116,9 +143,9 @@
             found = classes.get(request_class)
         if found is None:
             labels = {"service": service, "class": request_class}
-            found = (Buckets(*WHOLE_BUCKETS), Buckets(*ADDED_BUCKETS))
-            self._whole.set_value(labels, found[0])
-            self._added.set_value(labels, found[1])
+            found = (Buckets(*REQUEST_SECONDS_BUCKETS), Buckets(*ADDED_SECONDS_BUCKETS))
+            self._request_seconds.set_value(labels, found[0])
+            self._added_seconds.set_value(labels, found[1])
             classes[request_class] = found
         return found
 
@@ -154,7 +181,7 @@
 
 
 class MetricsApplication:
-    """Answers `GET /metrics`, as WSGI wants it."""
+    """WSGI application that answers `GET /metrics`."""
 
     def __init__(self, metrics: MetricsSource) -> None:
         self._metrics = metrics
@@ -173,12 +200,12 @@
 
 
 class ObserverChain(RequestObserver):
-    """Tells several observers."""
+    """Passes finished requests to several observers."""
 
     def __init__(self, *observers: RequestObserver) -> None:
         self._observers = observers
 
     def observe(self, finished: FinishedRequest) -> None:
-        """Tell each of them."""
+        """Call each observer in order."""
         for observer in self._observers:
             observer.observe(finished)
--- a/packages/node/src/persimmonusher_node/operators.py
+++ b/packages/node/src/persimmonusher_node/operators.py
@@ -25,7 +25,7 @@
 from persimmonusher_protocol import operator_pb2 as pb
 from persimmonusher_protocol.operator_grpc import OperatorsBase
 
-STATUSES = {
+STATUS_BY_CODE = {
     ErrorCode.BAD_REQUEST: Status.INVALID_ARGUMENT,
     ErrorCode.NOT_FOUND: Status.NOT_FOUND,
     ErrorCode.NO_QUORUM: Status.UNAVAILABLE,
@@ -46,11 +46,11 @@
         self._names_by_token = names_by_token
 
     async def Propose(self, stream: "Stream[pb.Change, pb.ProposeReply]") -> None:  # noqa: N802
-        """Have a change decided by the keepers; without a verdict in time, say UNKNOWN.
+        """Propose a change to the keepers; reply UNKNOWN if no verdict arrives in time.
 
-        The failure: an answer is lost between keeper, instance and operator. The operator can't
-        tell whether the change was accepted, and must not be told that it wasn't. UNKNOWN with
-        the same change id is safe to send again, because the verdict is kept by change id.
+        Guards against an answer lost between keeper, instance and operator: the change may have
+        been accepted, so the reply must not say that it wasn't. After UNKNOWN, it is safe to send
+        the change again with the same change id, because keepers keep the verdict by change id.
         """
         request = await stream.recv_message()
         assert request is not None
@@ -66,7 +66,7 @@
             verdict: Verdict = await self._configuration.propose(change)
         except UsherError as error:
             if error.code is not ErrorCode.NO_QUORUM:
-                raise _translate(error) from error
+                raise _make_grpc_error(error) from error
             reason = pb.Finding(code=error.code.value, message=error.message)
             return pb.ProposeReply(verdict=pb.UNKNOWN, findings=[reason])
         return wire.encode_verdict(verdict)
@@ -74,7 +74,7 @@
     async def ReadObjects(  # noqa: N802
         self, stream: "Stream[pb.ReadObjectsRequest, pb.ObjectList]"
     ) -> None:
-        """Send the live objects of one kind, or the one that is named."""
+        """Send the live objects of one kind, or only the one that the request names."""
         request = await stream.recv_message()
         assert request is not None
         kind = _decode_kind(request.kind)
@@ -86,7 +86,7 @@
     async def ReadHistory(  # noqa: N802
         self, stream: "Stream[pb.ReadHistoryRequest, pb.ObjectList]"
     ) -> None:
-        """Send the records of one object that the keepers keep."""
+        """Send the records that the keepers keep of one object."""
         request = await stream.recv_message()
         assert request is not None
         _decode_kind(request.kind)
@@ -94,7 +94,7 @@
         try:
             records = await self._configuration.keepers.read_history(key)
         except UsherError as error:
-            raise _translate(error) from error
+            raise _make_grpc_error(error) from error
         await stream.send_message(self._make_list(records))
 
     def _make_list(self, records: Sequence[Record]) -> pb.ObjectList:
@@ -119,7 +119,7 @@
     async def ListKeepers(  # noqa: N802
         self, stream: "Stream[pb.ListKeepersRequest, pb.KeeperList]"
     ) -> None:
-        """Send the keepers' states; one that can't be reached is shown so."""
+        """Send the keepers' states; one that can't be reached is listed as such."""
         await stream.recv_message()
         reports = await self._configuration.keepers.list_keepers()
         keepers = [wire.encode_keeper(report) for report in reports]
@@ -129,19 +129,19 @@
     async def DismissKeeper(  # noqa: N802
         self, stream: "Stream[pb.DismissKeeperRequest, pb.DismissKeeperReply]"
     ) -> None:
-        """Have a lost keeper removed for good."""
+        """Remove a lost keeper permanently."""
         request = await stream.recv_message()
         assert request is not None
         try:
             await self._configuration.keepers.dismiss(KeeperId(request.keeper))
         except UsherError as error:
-            raise _translate(error) from error
+            raise _make_grpc_error(error) from error
         await stream.send_message(pb.DismissKeeperReply())
 
     async def Explain(  # noqa: N802
         self, stream: "Stream[pb.ExplainRequest, pb.Explanation]"
     ) -> None:
-        """Send what all instances decided for a request."""
+        """Send the decisions of all instances on a request."""
         request = await stream.recv_message()
         assert request is not None
         await stream.send_message(await self._reports.explain(request))
@@ -158,12 +158,12 @@
     return found
 
 
-def _translate(error: UsherError) -> GRPCError:
-    return GRPCError(STATUSES.get(error.code, Status.INTERNAL), str(error))
+def _make_grpc_error(error: UsherError) -> GRPCError:
+    return GRPCError(STATUS_BY_CODE.get(error.code, Status.INTERNAL), str(error))
 
 
 class OperatorsComponent(Component):
-    """Serves operators and, for them, other instances.
+    """Serves operators, and other instances that collect reports for operators.
 
     `operator_tokens` maps each operator's name to the token, as in the settings.
     """
@@ -184,7 +184,7 @@
         self._service = OperatorsService(configuration, reports, names)
 
     def list_peer_handlers(self) -> Sequence[IServable]:
-        """Return the reports of this instance."""
+        """Return the service with this instance's reports."""
         return (InstanceReportsService(self._own),)
 
     def list_operator_handlers(self) -> Sequence[IServable]:
@@ -192,7 +192,7 @@
         return (self._service,)
 
     def start(self) -> None:
-        """Do nothing: calls come in by the daemon's listeners."""
+        """Do nothing: the daemon's listeners serve the calls."""
 
     def stop(self) -> None:
         """Do nothing."""
--- a/packages/node/src/persimmonusher_node/operators_reports.py
+++ b/packages/node/src/persimmonusher_node/operators_reports.py
@@ -1,4 +1,4 @@
-"""Reports for operators: what each instance says of itself, asked from all at once."""
+"""Reports for operators: the state of each instance, collected from all at once."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -21,15 +21,15 @@
 
 Reply = TypeVar("Reply")
 
-PEER_SECONDS: Final = 1.0
-"""An instance that takes longer is reported as silent: an operator waits for the whole."""
+PEER_TIMEOUT_SECONDS: Final = 1.0
+"""An instance that takes longer is reported as silent, since an operator waits for all answers."""
 
-CONCURRENT_CALLS: Final = 64
-"""Keeps the fan-out over 2,500 instances from opening as many connections at once."""
+MAX_CONCURRENT_CALLS: Final = 64
+"""Keeps the fan-out to 2,500 instances from opening as many connections at once."""
 
 
 class InstanceState(ABC):
-    """What this instance can say of itself; nothing here may wait."""
+    """The state that this instance reports; none of the methods may wait."""
 
     @abstractmethod
     def revision(self) -> Revision:
@@ -37,15 +37,15 @@
 
     @abstractmethod
     def list_statuses(self, service: ServiceName | None) -> Iterable[ServerStatus]:
-        """List the backend servers of one service, or of all, with what is done about them."""
+        """List the backend servers of one service, or of all, with this instance's view of each."""
 
     @abstractmethod
     def explain(self, request_id: RequestId) -> RequestRecord | None:
-        """Return what was decided for a request, or None when it isn't remembered."""
+        """Return the record of the decisions on a request, or None if none is kept."""
 
 
 class OwnReports:
-    """Make messages of what this instance says of itself."""
+    """Encodes this instance's state as messages."""
 
     def __init__(self, instance: Instance, state: InstanceState, clock: Clock) -> None:
         self.instance = instance
@@ -64,7 +64,7 @@
         return pb.ServerList(servers=[wire.encode_status(status, own) for status in statuses])
 
     def explain(self, request: pb.ExplainRequest) -> pb.Explanation:
-        """Report what this instance decided for a request."""
+        """Report this instance's decisions on a request."""
         record = self._state.explain(RequestId(request.request_id))
         if record is None:
             return pb.Explanation(request_id=request.request_id)
@@ -95,7 +95,7 @@
     async def ExplainOwn(  # noqa: N802
         self, stream: "Stream[pb.ExplainRequest, pb.Explanation]"
     ) -> None:
-        """Send what the instance decided for a request."""
+        """Send the instance's decisions on a request."""
         request = await stream.recv_message()
         assert request is not None
         await stream.send_message(self._own.explain(request))
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True)
 class Gathered(Generic[Reply]):
-    """The replies of the instances that answered, and those that didn't."""
+    """The replies of the instances that answered, and the instances that didn't."""
 
     replies: tuple[Reply, ...]
     silent: tuple[Instance, ...]
 
 
 class FleetReports:
-    """Asks every live instance, this one without a call."""
+    """Collects reports from every live instance, from this one without a call."""
 
     def __init__(self, own: OwnReports, membership: Membership, channels: ChannelPool) -> None:
         self._own = own
@@ -121,7 +121,7 @@
         """List the live instances; one that is silent is shown without a revision."""
         gathered = await self._gather(
             self._own.read_status(),
-            lambda stub: stub.ReadStatus(pb.ReadStatusRequest(), timeout=PEER_SECONDS),
+            lambda stub: stub.ReadStatus(pb.ReadStatusRequest(), timeout=PEER_TIMEOUT_SECONDS),
         )
         silent = [wire.encode_instance(instance, 0, False) for instance in gathered.silent]
         found = sorted([*gathered.replies, *silent], key=lambda item: item.instance_id)
@@ -131,17 +131,17 @@
         """List the backend servers with each instance's view."""
         gathered = await self._gather(
             self._own.list_servers(request),
-            lambda stub: stub.ListOwnServers(request, timeout=PEER_SECONDS),
+            lambda stub: stub.ListOwnServers(request, timeout=PEER_TIMEOUT_SECONDS),
         )
         merged = wire.merge_servers(gathered.replies)
         merged.silent_instances.extend(item.instance_id for item in gathered.silent)
         return merged
 
     async def explain(self, request: pb.ExplainRequest) -> pb.Explanation:
-        """Collect what every instance decided for a request, in order of time."""
+        """Collect every instance's decisions on a request, in order of time."""
         gathered = await self._gather(
             self._own.explain(request),
-            lambda stub: stub.ExplainOwn(request, timeout=PEER_SECONDS),
+            lambda stub: stub.ExplainOwn(request, timeout=PEER_TIMEOUT_SECONDS),
         )
         events = [event for reply in gathered.replies for event in reply.events]
         events.sort(key=lambda event: event.at)
@@ -156,13 +156,13 @@
     ) -> Gathered[Reply]:
         own_id = self._own.instance.instance_id
         others = [item for item in self._membership.list_live() if item.instance_id != own_id]
-        gate = asyncio.Semaphore(CONCURRENT_CALLS)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
         async def ask_one(instance: Instance) -> Reply | None:
-            async with gate:
+            async with semaphore:
                 stub = InstanceReportsStub(self._channels.get(instance.peer_address))
                 try:
-                    return await asyncio.wait_for(ask(stub), PEER_SECONDS)
+                    return await asyncio.wait_for(ask(stub), PEER_TIMEOUT_SECONDS)
                 except CALL_ERRORS:
                     return None
 
--- a/packages/node/src/persimmonusher_node/operators_state.py
+++ b/packages/node/src/persimmonusher_node/operators_state.py
@@ -1,4 +1,4 @@
-"""What this instance says of itself to operators, read from the data plane's parts."""
+"""The state that this instance reports to operators, read from the data plane's parts."""
 
 from collections.abc import Iterable, Iterator
 
@@ -15,7 +15,7 @@
 
 
 class DataPlaneState(InstanceState):
-    """Reads the service book, the directory and the latest requests; changes nothing."""
+    """Reads the service book, the directory and the records of recent requests."""
 
     def __init__(
         self,
@@ -36,7 +36,11 @@
         return self._configuration.revision()
 
     def list_statuses(self, service: ServiceName | None) -> Iterable[ServerStatus]:
-        """List servers with the decisions about them; a service not used here has none yet."""
+        """List servers with the decisions about them.
+
+        For a service without requests here there are no decisions; its servers are listed by their
+        announced state.
+        """
         live = {item.name: item for item in self._services}
         names = self._list_services() if service is None else [service]
         for name in names:
@@ -46,7 +50,7 @@
                 yield from self._list_unused(name)
 
     def explain(self, request_id: RequestId) -> RequestRecord | None:
-        """Return what was decided for a request lately, or None."""
+        """Return the record of the decisions on a recent request, or None."""
         return self._records.explain(request_id)
 
     def _list_services(self) -> list[ServiceName]:
--- a/packages/node/src/persimmonusher_node/operators_wire.py
+++ b/packages/node/src/persimmonusher_node/operators_wire.py
@@ -93,10 +93,10 @@
 
 
 def merge_servers(lists: Iterable[pb.ServerList]) -> pb.ServerList:
-    """Combine the instances' lists into one entry for each server with all views.
+    """Combine the instances' lists into one entry for each server, with all instances' views.
 
-    Where instances know different announcements of a server, the first one's is shown; each view
-    still says what its instance does.
+    Where instances know different announcements of a server, the entry shows the one of the first
+    list; each view still shows what its own instance does.
     """
     merged: dict[tuple[str, str], pb.ServerEntry] = {}
     for found in lists:
@@ -136,7 +136,7 @@
 def encode_explanation(
     record: RequestRecord, instance_id: InstanceId, clock: Clock
 ) -> pb.Explanation:
-    """Return what this instance decided for a request, in its order."""
+    """Return this instance's decisions on a request, in their order."""
     age = clock.monotonic() - record.arrived
     arrived = clock.wall() - timedelta(seconds=age)
 
--- a/packages/node/src/persimmonusher_node/process.py
+++ b/packages/node/src/persimmonusher_node/process.py
@@ -1,4 +1,4 @@
-"""One process of the daemon: the system's clock and randomness, logs, signals, and the parts."""
+"""Runs the daemon in one process: system clock and randomness, logs, signals, and the parts."""
 
 from random import SystemRandom
 
@@ -14,7 +14,7 @@
 
 
 def run_instance(settings: Settings) -> bool:
-    """Run until a signal; tell whether the stop cut nothing off."""
+    """Run one instance until a stop signal; return True if the stop cut nothing off."""
     if settings.role is not Role.COMBINED:
         message = f"role: {settings.role.value!r} runs behind an adapter, which has its own start"
         raise UsherError(ErrorCode.BAD_VALUE, message)
--- a/packages/node/src/persimmonusher_node/settings_file.py
+++ b/packages/node/src/persimmonusher_node/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file: JSON with comments, checked as a whole."""
+"""Reads the settings file, JSON with comments, and reports all its faults together."""
 
 import json
 import re
@@ -32,7 +32,7 @@
 
 
 def parse_settings(text: str, file: str) -> Settings:
-    """Check a settings document as a whole; raise UsherError with every finding."""
+    """Check a settings document; raise UsherError with every finding."""
     try:
         document = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
@@ -55,7 +55,7 @@
 
 
 class FindingList:
-    """Findings on one settings document, each with its place."""
+    """Collects findings on one settings document, each with its line."""
 
     def __init__(self, text: str, file: str) -> None:
         self._text = text
@@ -63,19 +63,19 @@
         self.findings: list[Finding] = []
 
     def add(self, path: str, message: str, code: ErrorCode = IMPOSSIBLE) -> None:
-        """Note what is wrong at a path."""
+        """Add a finding about a path."""
         line = find_line(self._text, path.split("."))
         self.findings.append(Finding(code, path, message, self._file, line))
 
     def add_missing(self, path: str) -> None:
-        """Note that a field is missing; its line is that of what should hold it."""
+        """Add a finding about a missing field, with the line of the object that should hold it."""
         line = find_line(self._text, path.split(".")[:-1])
         finding = Finding(ErrorCode.MISSING_KEY, path, "is required", self._file, line)
         self.findings.append(finding)
 
 
 def check_combinations(settings: Settings, text: str, file: str) -> list[Finding]:
-    """List what is wrong with fields that are each right by themselves."""
+    """Return findings on combinations of fields that are each valid alone."""
     found = FindingList(text, file)
     check_listeners(settings, found)
     check_role(settings, found)
@@ -85,7 +85,7 @@
 
 
 def check_listeners(settings: Settings, found: FindingList) -> None:
-    """Check that the role's listeners are there, each at an address of its own."""
+    """Check that the role's listeners are set, each with an address of its own."""
     listeners = {name: at for name, at in settings.listen.model_dump().items() if at}
     for name in REQUIRED_LISTENERS[settings.role]:
         if name not in listeners:
@@ -98,7 +98,7 @@
 
 
 def check_role(settings: Settings, found: FindingList) -> None:
-    """Check what keepers need."""
+    """Check the fields that keepers need, and the seeds of entries and keepers."""
     if settings.is_keeper and settings.data_folder is None:
         message = f"{settings.instance_id} is one of them, so data_folder is required"
         found.add("keepers", message)
@@ -111,7 +111,7 @@
 
 
 def check_tokens(settings: Settings, found: FindingList) -> None:
-    """Check that each token says who calls."""
+    """Check that each token identifies one caller."""
     tokens = list(settings.operator_tokens.values())
     if len(set(tokens)) < len(tokens):
         found.add("operator_tokens", "two operators have the same token")
@@ -120,7 +120,7 @@
 
 
 def check_default_profile(settings: Settings, found: FindingList) -> None:
-    """Check the default profile."""
+    """Check the default profile as a profile document."""
     try:
         parse_profile(settings.default_profile)
     except UsherError as error:
@@ -129,10 +129,10 @@
 
 
 def find_line(text: str, path: list[str]) -> int | None:
-    """Return the line on which the path's last name is written, looking for each in turn.
+    """Return the line of the path's last name that is found, searching for each name in turn.
 
-    A search for `"name":`, not a parse: with the same name twice it may point at the first, which
-    is why a finding always carries the whole path as well.
+    This is a text search for `"name":`, not a parse. If a name occurs twice it may return the line
+    of the first, so a finding always carries the whole path as well.
     """
     position = 0
     found: int | None = None
--- a/packages/node/src/persimmonusher_node/settings_watch.py
+++ b/packages/node/src/persimmonusher_node/settings_watch.py
@@ -15,8 +15,9 @@
 from persimmonusher_node.settings import Settings
 from persimmonusher_node.settings_file import load_settings
 
-POLL_SECONDS: Final = 1.0
-"""How long a change without a signal may go unseen; one look at the file costs microseconds."""
+POLL_INTERVAL_SECONDS: Final = 1.0
+"""Longest time until a change without a signal is noticed; one check of the file costs
+microseconds."""
 LIVE_FIELDS: Final = frozenset({"seeds", "seeds_port", "log_level"})
 """Settings that take effect without a restart."""
 
@@ -24,37 +25,37 @@
 
 
 class SettingsWatch(Component):
-    """Reads the settings again and hands on those that are in order.
+    """Reloads the settings, and applies them if they are valid.
 
-    Bad settings are reported with all findings, and the former ones stay in force: an operator's
-    slip in a file must not end an instance that works.
+    Invalid settings are logged with all findings, and the previous ones stay in force: an
+    operator's mistake in the file must not end a working instance.
     """
 
     def __init__(self, path: Path, settings: Settings, apply: Callable[[Settings], None]) -> None:
         self._path = path
         self._settings = settings
         self._apply = apply
-        self._seen = self._look()
-        self._hangup = False
+        self._file_state = self._read_file_state()
+        self._is_signalled = False
         self._thread: GreenThread | None = None
 
     def start(self) -> None:
-        """Handle SIGHUP, and begin to look at the file."""
+        """Install the SIGHUP handler, and start to check the file."""
         signal.signal(signal.SIGHUP, self._handle)
         self._thread = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """End the looking; SIGHUP goes on to be harmless."""
+        """Stop checking the file; the SIGHUP handler stays, so that the signal does no harm."""
         if self._thread is not None:
             self._thread.kill()
             self._thread = None
 
     def check(self) -> None:
-        """Read the settings again if there was a signal or the file is another one."""
-        seen = self._look()
-        if not self._hangup and seen == self._seen:
+        """Reload the settings if there was a signal or the file has changed."""
+        file_state = self._read_file_state()
+        if not self._is_signalled and file_state == self._file_state:
             return
-        signalled, self._hangup, self._seen = self._hangup, False, seen
+        signalled, self._is_signalled, self._file_state = self._is_signalled, False, file_state
         try:
             settings = load_settings(self._path)
         except UsherError as error:
@@ -72,14 +73,14 @@
 
     def _run(self) -> None:
         while True:
-            eventlet.sleep(POLL_SECONDS)
+            eventlet.sleep(POLL_INTERVAL_SECONDS)
             try:
                 self.check()
             except Exception:
-                # Without this loop no later change would be seen.
+                # Without this loop no later change would be noticed.
                 _log.exception("settings check failed")
 
-    def _look(self) -> tuple[int, int] | None:
+    def _read_file_state(self) -> tuple[int, int] | None:
         try:
             status = self._path.stat()
         except OSError:
@@ -88,11 +89,11 @@
         return (status.st_mtime_ns, status.st_size)
 
     def _handle(self, number: int, frame: FrameType | None) -> None:
-        self._hangup = True
+        self._is_signalled = True
 
 
-def list_changed(former: Settings, settings: Settings) -> set[str]:
-    """List the fields that differ."""
+def list_changed(previous: Settings, settings: Settings) -> set[str]:
+    """Return the names of the fields that differ."""
     return {
-        name for name in Settings.model_fields if getattr(former, name) != getattr(settings, name)
+        name for name in Settings.model_fields if getattr(previous, name) != getattr(settings, name)
     }
--- a/packages/node/src/persimmonusher_node/watch.py
+++ b/packages/node/src/persimmonusher_node/watch.py
@@ -1,7 +1,7 @@
-"""The clockwork of the data plane: deadlines, callers that left, waiting requests, idle sockets.
+"""The data plane's periodic work: deadlines, disconnected callers, queued requests, idle sockets.
 
-One green thread looks at all requests in flight instead of a timer and a socket watch for each:
-most requests are over within one period and then cost nothing.
+One green thread checks all requests in flight, instead of a timer and a socket watch for each: most
+requests end within one period and then cost nothing.
 """
 
 from typing import Final
@@ -18,17 +18,18 @@
 from persimmonusher_node.upstream import Upstream
 
 TICK_SECONDS: Final = 0.05
-"""How late a queued request may be refused, or the deadline of a trickling answer enforced; a
-silent server's ends with its socket's timeout. Shorter, an idle instance is busy with its ticks."""
+"""Longest delay in refusing a queued request or in enforcing the deadline of an answer that arrives
+slowly; for a silent server, its socket's timeout enforces the deadline. A shorter interval would
+keep an idle instance busy with ticks."""
 CALLER_CHECK_TICKS: Final = 2
-"""A caller that left is noticed within 0.1 s; each check is one system call a request."""
+"""A disconnected caller is noticed within 0.1 s; each check costs one system call per request."""
 HOUSEKEEPING_TICKS: Final = 20
 
 _log = get_logger(__name__)
 
 
 class Watch(Component):
-    """Drives `ServiceBook` and ends requests whose deadline passed or whose caller left."""
+    """Drives `ServiceBook`; ends requests whose deadline passed or whose caller disconnected."""
 
     def __init__(
         self, services: ServiceBook, forwarder: Forwarder, upstream: Upstream, clock: Clock
@@ -40,11 +41,11 @@
         self._thread: GreenThread | None = None
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the periodic ticks."""
         self._thread = spawn(self._run)
 
     def stop(self) -> None:
-        """End the ticks and close the kept connections."""
+        """End the ticks and close idle connections to backend servers."""
         if self._thread is not None:
             self._thread.kill()
             self._thread = None
@@ -57,31 +58,31 @@
             try:
                 self.tick(ticks)
             except Exception:
-                # Without its ticks the instance would hold late requests for ever, so one fault
-                # must not end them.
+                # One fault must not end the ticks: without them the instance would hold requests
+                # past their deadline forever.
                 _log.exception("tick failed")
             ticks += 1
 
     def tick(self, ticks: int) -> None:
-        """Do the work of one tick."""
-        housekeeping = ticks % HOUSEKEEPING_TICKS == 0
-        self._end_late_runs()
+        """Do the work of one tick; `ticks` is its number."""
+        is_housekeeping = ticks % HOUSEKEEPING_TICKS == 0
+        self._end_expired_runs()
         if ticks % CALLER_CHECK_TICKS == 0:
-            self._end_left_runs()
-        if housekeeping:
+            self._end_abandoned_runs()
+        if is_housekeeping:
             self._services.count_entries()
             self._upstream.expire()
-        self._services.advance(self._forwarder.deliver, housekeeping)
+        self._services.advance(self._forwarder.deliver, is_housekeeping)
 
-    def _end_late_runs(self) -> None:
+    def _end_expired_runs(self) -> None:
         now = self._clock.monotonic()
         for run in self._forwarder.list_runs():
             if now >= run.request.deadline:
                 run.stop(OutcomeKind.TIMEOUT)
 
-    def _end_left_runs(self) -> None:
+    def _end_abandoned_runs(self) -> None:
         now = self._clock.monotonic()
-        oldest = now - TICK_SECONDS
+        latest_arrival = now - TICK_SECONDS
         for run in self._forwarder.list_runs():
-            if run.call.arrived < oldest and run.call.has_caller_left():
+            if run.call.arrived < latest_arrival and run.call.has_caller_left():
                 run.leave(now)
--- a/packages/node/tests/test_log_pipe.py
+++ b/packages/node/tests/test_log_pipe.py
@@ -6,7 +6,7 @@
 import time  # noqa: E402
 import unittest  # noqa: E402
 
-from persimmonusher_node.log_pipe import LONGEST_LINE, LogPipe  # noqa: E402
+from persimmonusher_node.log_pipe import MAX_LINE_BYTES, LogPipe  # noqa: E402
 
 
 class LogPipeTest(unittest.TestCase):
@@ -20,10 +20,10 @@
         return os.read(self.reader, 1_000_000).split(b"\n")
 
     def test_a_reader_that_stopped_holds_nothing_up(self) -> None:
-        """The collector of the logs hangs, and the pipe to it is full.
+        """The log collector hangs, and the pipe to it is full.
 
-        A line that waited for room would hold up every caller of the instance. Lines are dropped
-        instead, and the next one that finds room is preceded by their number.
+        A write that waited for room would block every caller of the instance. Lines are dropped
+        instead, and their number is written before the next line that finds room.
         """
         started = time.monotonic()
         for number in range(5_000):
@@ -42,4 +42,4 @@
     def test_a_line_that_is_too_long_is_cut_and_marked(self) -> None:
         self.pipe.write("x" * 10_000 + "\n")
         line, rest = self.read()
-        self.assertEqual((len(line) + 1, line[-1:], rest), (LONGEST_LINE, b"~", b""))
+        self.assertEqual((len(line) + 1, line[-1:], rest), (MAX_LINE_BYTES, b"~", b""))
--- a/packages/node/tests/test_logs.py
+++ b/packages/node/tests/test_logs.py
@@ -15,7 +15,7 @@
 from persimmonusher_model.identifiers import Revision
 from persimmonusher_node.ages import LONGEST_AGE_SECONDS
 from persimmonusher_node.keeper import describe_leader
-from persimmonusher_node.line_budget import LINES_A_SECOND
+from persimmonusher_node.line_budget import MAX_LINES_PER_SECOND
 from persimmonusher_node.logs import MASK, LoggingObserver, hide_secrets
 
 EXAMPLE = Path(__file__).resolve().parents[3] / "docs" / "examples" / "keeper.json"
@@ -35,7 +35,7 @@
         self.assertFalse([word for word in ("secret body", "4111") if word in json.dumps(line)])
 
     def test_an_overload_can_not_be_made_worse_by_its_log(self) -> None:
-        """Thousands of requests are refused each second; writing a line for each costs more."""
+        """Thousands of requests are refused each second; a log line for each would add load."""
         self.script(*[SHED] * 9)
         self.call("POST", body=b"x")
         clock = ManualClock()
@@ -45,8 +45,8 @@
                 observer.observe(self.observer.finished[-1])
             clock.advance(1.0)
             observer.observe(self.observer.finished[-1])
-        self.assertEqual(len(lines), LINES_A_SECOND + 1)
-        self.assertEqual(lines[-1]["lines_left_out"], 1_000 - LINES_A_SECOND)
+        self.assertEqual(len(lines), MAX_LINES_PER_SECOND + 1)
+        self.assertEqual(lines[-1]["lines_left_out"], 1_000 - MAX_LINES_PER_SECOND)
 
     def test_what_ran_is_logged_only_when_debugging(self) -> None:
         self.call()
@@ -55,7 +55,7 @@
                 LoggingObserver(ManualClock(), level).observe(self.observer.finished[-1])
             self.assertEqual(len(lines), expected)
 
-    # Guards against an age without a bound, which strict readers of JSON refuse.
+    # Guards against an infinite age in a log line, which strict JSON readers reject.
     def test_a_keeper_that_was_never_fresh_logs_a_number(self) -> None:
         status = KeeperStatus(
             KeeperId("k1#1"),
@@ -102,7 +102,7 @@
             self.assertNotIn("Traceback", bad.stderr)
 
     def test_an_address_that_is_not_here_is_named(self) -> None:
-        """An operator copies the settings of another instance."""
+        """The settings were copied from an instance whose address this machine doesn't have."""
         bad = self.run_command("run", str(EXAMPLE))
         self.assertEqual(bad.returncode, 1)
         self.assertIn("10.1.0.3:", bad.stderr)
--- a/packages/node/tests/test_operators.py
+++ b/packages/node/tests/test_operators.py
@@ -59,7 +59,7 @@
 
 
 class FakeConfiguration:
-    """Stands for the ConfigurationClient; the test sets the next verdict or error."""
+    """Replaces the ConfigurationClient; the test sets the next verdict or error."""
 
     def __init__(self) -> None:
         self.proposed: list[Change] = []
@@ -83,7 +83,7 @@
 
 
 class FakeState(InstanceState):
-    """One instance with one server and one remembered request."""
+    """One instance with one server and one recorded request."""
 
     def __init__(self, revision: int, taking: bool, reason: str) -> None:
         self._revision = Revision(revision)
@@ -129,7 +129,7 @@
 
 
 class ChannelsInMemory:
-    """Leads each peer address to a service in this process; an unknown one can't be reached."""
+    """Maps each peer address to a service in this process; other addresses are unreachable."""
 
     def __init__(self, channels: dict[str, Any]) -> None:
         self._channels = channels
@@ -139,7 +139,7 @@
 
 
 class UnreachableChannel:
-    """A channel whose every call fails as a refused connection does."""
+    """A channel on which every call fails like a refused connection."""
 
     def request(self, *arguments: Any, **options: Any) -> Any:
         raise ConnectionRefusedError("refused")
@@ -154,7 +154,7 @@
         self.instances = [make_instance(name) for name in ("i1", "i2", "i3")]
 
     def ask(self, call: Callable[[OperatorsStub], Any]) -> Any:
-        """Serve i1, with i2 as a peer and i3 out of reach, and make one call."""
+        """Serve i1, with i2 as a peer and i3 unreachable, and make one call."""
 
         async def run() -> Any:
             clock = ManualClock(5.0)
--- a/packages/node/tests/test_reference_pages.py
+++ b/packages/node/tests/test_reference_pages.py
@@ -1,4 +1,7 @@
-"""The reference pages name every code, metric, header and setting, and no other."""
+"""The reference pages list every error code, metric, header and setting.
+
+The settings and metrics pages may list no other names.
+"""
 
 import re
 import unittest
--- a/packages/node/tests/test_settings_watch.py
+++ b/packages/node/tests/test_settings_watch.py
@@ -44,9 +44,9 @@
         self.assertEqual([s.seeds for s in self.applied], [("127.0.0.1:7100",)] * 2)
 
     def test_bad_settings_leave_the_former_in_force(self) -> None:
-        """An operator's slip leaves a file that can't be read, or lists an unknown role.
+        """An operator's mistake leaves a file that can't be parsed, or that has an unknown role.
 
-        Taken as a reason to end, one slip would end every instance of the fleet within a second.
+        If instances exited because of it, one mistake would end the whole fleet within a second.
         """
         for text in ("{", TEXT.replace('"entry"', '"guest"') % 70, ""):
             with self.subTest(text[:10]):
--- a/packages/node/tests/test_shutdown.py
+++ b/packages/node/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful stop of a real process cuts off no request in flight."""
+"""A graceful stop, also of a real process, cuts off no request in flight."""
 
 import itertools
 import json
@@ -30,7 +30,7 @@
 
 
 def choose_listeners(number: int) -> Listeners:
-    """Choose an address of the loopback network that no other test process uses."""
+    """Return listeners on a loopback address that no other test process uses."""
     pid = os.getpid()
     host = f"127.{16 + pid % 200}.{pid // 200 % 250}.{number}"
     return Listeners(**{name: f"{host}:{port}" for name, port in PORTS.items()})
@@ -38,9 +38,9 @@
 
 class AcceptQueueTest(EntryTestCase):
     def test_a_request_in_the_kernels_queue_is_answered(self) -> None:
-        """A caller has connected and sent its entry, and the listener closes before it accepts.
+        """A caller connects and sends a request, and the listener closes before it accepts.
 
-        Closing a listening socket resets the connections that wait in it.
+        Closing a listening socket resets the connections that wait in its queue.
         """
         plain = eventlet.patcher.original("socket")
         with plain.create_connection(("127.0.0.1", self.listener.port)) as caller:
@@ -73,7 +73,7 @@
 
 class LateRequestTest(StoppingEntryTestCase):
 
-    # Guards against taking a request that the end of the stop would cut off.
+    # Guards against accepting a request that the end of the stop would cut off.
     def test_a_request_for_which_no_time_is_left_is_refused_at_once(self) -> None:
         self.script(stall(0.8, answer(b"first")), stall(2.0, answer(b"second")))
         stop = self.make_stop(1.5)
@@ -82,30 +82,30 @@
         eventlet.sleep(0.1)
         stopping = eventlet.spawn(stop.run)
         self.assertEqual(first.wait().body, b"first")
-        told = self.call("POST", "/2", connection=connection)
-        self.assertEqual((told.status, told.outcome), (503, "not-run"))
+        reply = self.call("POST", "/2", connection=connection)
+        self.assertEqual((reply.status, reply.outcome), (503, "not-run"))
         self.assertEqual([heard.target for heard in self.ran], ["/1"])
         self.assertTrue(stopping.wait())
 
 
 class SwallowedRequestTest(StoppingEntryTestCase):
-    # Guards against a reset in place of an answer for a request that a server has swallowed.
+    # Guards against a reset instead of an answer for a request that a server never answers.
     def test_a_request_that_outlasts_the_stop_is_answered(self) -> None:
         self.script(stall(10.0, answer(b"never")))
         stop = self.make_stop(0.8)
         swallowed = eventlet.spawn(self.call, "GET", "/search")
         eventlet.sleep(0.1)
         self.assertFalse(stop.run())
-        told = swallowed.wait()
-        self.assertEqual((told.status, told.outcome), (504, "unknown"))
+        reply = swallowed.wait()
+        self.assertEqual((reply.status, reply.outcome), (504, "unknown"))
 
 
 class AcceptGapTest(EntryTestCase):
     def test_no_caller_is_let_in_between_the_last_accept_and_the_close(self) -> None:
-        """A caller connects and sends its entry just after the stop's last accept.
+        """A caller connects and sends a request just after the stop's last accept.
 
-        The close that follows would reset it, and the caller couldn't know whether its entry ran.
-        It must either be answered or never be connected.
+        The close that follows would reset the connection, and the caller couldn't know whether its
+        request ran. The request must be answered, or the connection never be made.
         """
         plain = eventlet.patcher.original("socket")
         accept_last = self.listener._accept_waiting
@@ -133,10 +133,11 @@
 
 class LastAnswerTest(EntryTestCase):
     def test_a_connection_that_is_answered_late_in_the_stop_is_not_kept(self) -> None:
-        """An entry takes longer than the stop gives idle connections to send their last request.
+        """A request takes longer than the stop gives idle connections to send their last request.
 
-        Its answer was begun before the stop and promises to keep the connection. Idle from then
-        on, and shut by nobody, it held the process until its whole grace was over.
+        The request was begun before the stop, so its answer promises to keep the connection open.
+        If nothing closed that idle connection, it would keep the process from exiting until the
+        whole grace period is over.
         """
         self.script(stall(1.5, answer(b"lodged late")))
         connection = self.connect()
@@ -201,9 +202,9 @@
         except OSError:
             return 0
 
-    def wait_until(self, met, seconds: float = 10.0) -> float:  # type: ignore[no-untyped-def]
+    def wait_until(self, condition, seconds: float = 10.0) -> float:  # type: ignore[no-untyped-def]
         started = time.monotonic()
-        while not met():
+        while not condition():
             self.assertLess(time.monotonic() - started, seconds)
             eventlet.sleep(0.02)
         return time.monotonic() - started
@@ -222,10 +223,10 @@
         return int(self.process.returncode)
 
     def test_sigterm_under_load_cuts_off_nothing(self) -> None:
-        """Eight callers lodge entries all the time while the instance is told to stop, twice.
+        """Eight callers send requests all the time while the instance gets SIGTERM, twice.
 
-        Each entry that was sent is answered whole. Once the listener is closed, a caller can't
-        connect, which is no cut-off: the balancer has sent it elsewhere by then.
+        Each request that was sent gets its whole answer. Once the listener is closed, a caller
+        can't connect; this is no cut-off, since the load balancer uses other instances by then.
         """
         quick = stall(0.01, answer(b"lodged"))
         late = stall(1.5, answer(b"lodged late"))
@@ -242,8 +243,8 @@
                 except ConnectionRefusedError:
                     return
                 while connection.sock is not None:
-                    told = self.post(b"entry", connection)
-                    results[f"{told.status} {told.outcome} {told.body.decode()}"] += 1
+                    reply = self.post(b"entry", connection)
+                    results[f"{reply.status} {reply.outcome} {reply.body.decode()}"] += 1
 
         callers = [eventlet.spawn(call_until_refused) for _ in range(8)]
         slow = eventlet.spawn(self.post, b"slow")
@@ -261,19 +262,19 @@
         self.assertEqual(len(self.server.ran), results.total() + 1)
 
     def test_a_stuck_request_ends_at_its_deadline_and_the_process_with_it(self) -> None:
-        """A backend server never answers. The bound of a stop is the request's own deadline."""
+        """A backend server never answers; the request's own deadline bounds the stop."""
         self.server.default = stall(60.0, answer())
         stuck = eventlet.spawn(self.post, b"x", Persimmonusher_Deadline_Ms="1500")
         eventlet.sleep(0.2)
         started = time.monotonic()
         self.stop()
-        told = stuck.wait()
-        self.assertEqual((told.status, told.outcome), (504, "unknown"))
+        reply = stuck.wait()
+        self.assertEqual((reply.status, reply.outcome), (504, "unknown"))
         self.assertEqual(self.wait_for_exit(5.0), 0)
         self.assertLess(time.monotonic() - started, 3.0)
 
     def test_a_caller_that_never_ends_its_request_holds_the_stop_for_a_bounded_time(self) -> None:
-        """A caller sends half a head and nothing more; it is told so and the process ends."""
+        """A caller sends half a head and nothing more; it gets a 408 and the process ends."""
         host, _, port = self.listen.callers.rpartition(":")
         with socket.create_connection((host, int(port))) as connection:
             connection.sendall(b"POST /entry HTTP/1.1\r\nHo")
--- a/packages/node/tests/test_start.py
+++ b/packages/node/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a process loads before it can serve: each start of it loses callers for as long."""
+"""What a process loads before it can serve: callers lose their requests until it has started."""
 
 import os
 import subprocess
@@ -19,10 +19,10 @@
 
 class StartTest(unittest.TestCase):
     def test_an_entry_loads_nothing_that_it_does_not_use(self) -> None:
-        """All entries are killed at once, and callers come back before they have started.
+        """All entries are killed at once, and callers resend before the entries have restarted.
 
-        The resolver and the terminal output that libraries bring along took more than a third of
-        the time until the first answer.
+        Loading the DNS resolver and the terminal output of libraries takes more than a third of the
+        time until the first answer.
         """
         hidden = "import sys; sys.modules['rich'] = None\n"
         done = subprocess.run(
@@ -35,7 +35,7 @@
         self.assertEqual(done.stdout.split(), [])
 
     def test_what_is_installed_with_it_holds_no_terminal_output(self) -> None:
-        """structlog loads rich where it finds it, whether or not it is used."""
+        """structlog loads rich if it is installed, whether or not it is used."""
         requirements = Path(__file__).parents[3] / "deploy" / "requirements.txt"
         names = {line.split("==")[0] for line in requirements.read_text().splitlines()}
         self.assertEqual(names & {"rich", "typer"}, set())
