--- a/packages/node/src/persimmonusher_node/claims.py
+++ b/packages/node/src/persimmonusher_node/claims.py
@@ -52,8 +52,8 @@
 the four others decide."""
 MAX_CLAIM_ROUNDS: Final = 4
 """Rounds of voting for one claim. Two callers that resend at the same moment can split the votes.
-Each then releases its grants and starts another round after a random pause; all four rounds rarely
-fail."""
+Each then releases its grants and starts another round after a random pause. It is rare that all
+four rounds fail."""
 ROUND_PAUSE_SECONDS: Final = 0.02
 """Mean pause before the second round, several round trips long; it grows with each round."""
 MAX_SETTLE_ATTEMPTS: Final = 5
@@ -317,7 +317,7 @@
     async def _follow_roster(self) -> None:
         # A register must know the roster even where its own instance has no keyed requests: it
         # abstains from peers' claims under a version that it does not know, and the keepers' leader
-        # waits until it reports the newest version.
+        # waits until enough registers report the newest version.
         while True:
             self._refresh_roster()
             await asyncio.sleep(SHARE_PAUSE_SECONDS)
--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -51,8 +51,8 @@
 """The same before the first revision: an entry without configuration can't serve any caller."""
 
 PULL_TIMEOUT_SECONDS: Final = 10.0
-"""Long enough for a whole batch with the 200,000 routes that the fleet is designed for; the answer
-to an up-to-date instance takes milliseconds."""
+"""Long enough for a whole batch at the target size of 200,000 routes; an answer without changes
+takes milliseconds."""
 
 ANNOUNCE_TIMEOUT_SECONDS: Final = 1.0
 ANNOUNCE_FAN_OUT: Final = 3
--- a/packages/node/src/persimmonusher_node/settings.py
+++ b/packages/node/src/persimmonusher_node/settings.py
@@ -17,7 +17,7 @@
     COMBINED = "combined"
     """Serves callers, finds the other instances by gossip, and may keep the configuration log."""
     ENTRY = "entry"
-    """Serves callers and follows a keeper, from which it gets its configuration."""
+    """Serves callers and follows a keeper, from which it gets everything else."""
     KEEPER = "keeper"
     """Keeps the configuration log, backend servers' registrations and the routing document."""
 
--- a/packages/node/src/persimmonusher_node/settings_bounds.py
+++ b/packages/node/src/persimmonusher_node/settings_bounds.py
@@ -7,7 +7,7 @@
 
 EXIT_RESERVE_SECONDS: Final = 0.8
 """Time reserved for the process to exit after the last answer of a stop, so that it ends before
-the supervisor kills it: a reset tells callers more than a peer that vanished."""
+the supervisor kills it: callers learn more from a reset than from a peer that vanished."""
 MIN_STOP_FRACTION: Final = 0.5
 """Least fraction of the time until the kill that a stop gets, for when that time is very short."""
 MAX_RETRY_BUDGET_PERCENT: Final = 50
