--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -1,7 +1,8 @@
-"""The keeper role: drives one keeper of the log on its disk and serves it over gRPC.
+"""The keeper role: runs one keeper of the replicated log on its disk and serves it over gRPC.
 
-One task takes turns: events that came in meanwhile are synced together, and only then does
-anything leave. A disk that fails ends the keeper, which says so and starts again from the disk.
+One task works in turns: the events that arrived since the last turn are synced to the disk
+together, and only then are messages and answers sent. When the disk fails, the keeper stops,
+reports the failure, and later starts again from what is on the disk.
 """
 
 import asyncio
@@ -57,21 +58,22 @@
 
 logger = structlog.get_logger(__name__)
 
-FOLDER: Final = "keeper"
+KEEPER_FOLDER: Final = "keeper"
 TURN_SECONDS: Final = 0.05
-"""Longest wait between turns: a quarter of a heartbeat."""
+"""Longest wait between turns: a quarter of a default heartbeat interval."""
 
 REOPEN_SECONDS: Final = 5.0
-"""Wait before a failed disk is tried again."""
+"""Wait before a failed disk is opened again."""
 
 FIRST_ANSWER_BITS: Final = 48
-"""Two starts of one keeper are very unlikely to number answers alike, and numbers stay short."""
+"""Enough that two starts of a keeper hardly ever use the same answer numbers, and few enough that
+the numbers stay short."""
 
 SNAPSHOT_CHECK_SECONDS: Final = 0.5
 
 
 def describe_leader(status: KeeperStatus, majority_age: float) -> dict[str, Any]:
-    """Return the fields of a line that say who leads, and how far this keeper has come."""
+    """Return the log fields for the leader and for this keeper's progress."""
     return {
         "leader": status.leader,
         "term": status.term,
@@ -82,10 +84,10 @@
 
 
 class KeeperRole(Component):
-    """One keeper as a component of the daemon; only where `settings.is_keeper` and a data folder.
+    """One keeper as a component of the daemon.
 
-    Constructor: `KeeperRole(settings, channels, clock, client, random)`, where `client` is this
-    instance's ConfigurationClient; committed changes go straight to it.
+    Only for an instance with `settings.is_keeper` and a data folder. `client` is this instance's
+    ConfigurationClient, to which committed changes are passed directly.
     """
 
     def __init__(
@@ -102,7 +104,7 @@
         if settings.data_folder is None:
             raise UsherError(ErrorCode.MISSING_KEY, "data_folder: a keeper needs one")
         self._settings = settings
-        self.folder = Path(settings.data_folder) / FOLDER
+        self.folder = Path(settings.data_folder) / KEEPER_FOLDER
         self._clock = clock
         self._client = client
         self._random = random or Random()
@@ -120,29 +122,29 @@
         self._joining = KeeperJoining(self, settings, channels, clock, client, self._formation)
         self._main: list[asyncio.Task[None]] = []
         self._leader: KeeperId | None = None
-        """The leader that was logged last."""
+        """The leader named by the last log line."""
 
-    # Owned by the daemon
+    # Called by the daemon
 
     def list_peer_handlers(self) -> Sequence[IServable]:
-        """Return the Keeper service."""
+        """Return the handler of the Keeper gRPC service."""
         return (KeeperService(self),)
 
     def start(self) -> None:
-        """Open the disk and begin to take part."""
+        """Open the disk and start the background tasks."""
         self._open()
         loops = (self._run(), self._joining.run(), self._run_snapshots())
         self._main = [start_coroutine(loop) for loop in loops]
 
     def stop(self) -> None:
-        """End all work and release the disk."""
+        """Cancel the background tasks and release the disk."""
         for task in self._main:
             task.cancel()
         self._main = []
         self._courier.stop()
         self._close("stopped")
 
-    # Asked by the service
+    # Called by the service
 
     @property
     def keeper(self) -> ConfigurationKeeper:
@@ -155,33 +157,33 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the disk is open and the keeper takes part."""
+        """Return whether the disk is open and the keeper runs."""
         return self._keeper is not None
 
     @property
     def identity(self) -> KeeperId:
-        """Return this keeper's identity, empty while the disk has failed."""
+        """Return this keeper's identity, or an empty one while the disk has failed."""
         return self._storage.keeper if self._storage else KeeperId("")
 
     @property
     def first_keeper(self) -> str:
-        """Return the instance that stands first among the keepers in the settings."""
+        """Return the instance that the settings list first among the keepers, or an empty id."""
         keepers = self._settings.keepers
         return keepers[0].instance_id if keepers else ""
 
     def take_message(self, wire: pb.LogMessage) -> None:
-        """Take another keeper's message."""
+        """Handle another keeper's message of the log."""
         message = decode_message(wire)
         self._courier.learn_address(message.source, wire.address)
         from_leader = isinstance(message, AppendRequest | SnapshotRequest)
         now = self._clock.monotonic()
-        self.followers.hear(message.source, wire.followers, now, from_leader)
+        self.followers.record(message.source, wire.followers, now, from_leader)
         with self._guard():
             self.keeper.receive(message, self._clock.monotonic(), wire.lineage)
         self._wake.set()
 
     async def propose(self, change: Change) -> Verdict:
-        """Have a change decided; raise NOT_LEADER, or UNAVAILABLE with its outcome unknown."""
+        """Return the verdict on a change; raise NOT_LEADER, or UNAVAILABLE if it is unknown."""
         self._calls.check_limit()
         with self._guard():
             verdict = self.keeper.propose(change, self._clock.monotonic())
@@ -192,7 +194,7 @@
         return await answer
 
     async def confirm(self) -> Revision:
-        """Return a revision that holds all changes accepted before the call; as leader only."""
+        """Return a revision that holds all changes accepted before the call; leader only."""
         self._calls.check_limit()
         with self._guard():
             ticket = self.keeper.start_read(self._clock.monotonic())
@@ -201,7 +203,11 @@
         return await answer
 
     def admit(self, candidate: Candidate, promote: bool) -> None:
-        """Take a keeper that asks to join; nothing more happens here unless this one leads."""
+        """Handle a keeper's request to join.
+
+        A keeper without a log notes it as a candidate. A leader admits it, unless a change of the
+        members is pending. Others ignore it.
+        """
         now = self._clock.monotonic()
         if is_empty(self.keeper):
             self._formation.note_candidate(candidate, now)
@@ -214,7 +220,7 @@
         self._wake.set()
 
     def form(self, members: Members) -> None:
-        """Begin a new log with these members, where this keeper holds none."""
+        """Form a new log with these members, unless this keeper already holds one."""
         with self._guard():
             if is_empty(self.keeper):
                 self.keeper.form(members)
@@ -222,12 +228,12 @@
         self._wake.set()
 
     def dismiss(self, keeper: KeeperId) -> None:
-        """Remove a keeper for good; as leader only."""
+        """Remove a keeper permanently; leader only."""
         with self._guard():
             self.keeper.dismiss(keeper, self._clock.monotonic())
         self._wake.set()
 
-    # The disk
+    # Disk
 
     def _open(self) -> None:
         files = self._files = KeeperFiles(self.folder)
@@ -260,7 +266,7 @@
         )
 
     def _close(self, reason: str) -> None:
-        """Stop making promises; what waits gets its answer at once."""
+        """Stop the keeper, and fail all waiting calls at once."""
         self.failure = reason
         self._keeper = None
         self._storage = None
@@ -271,7 +277,7 @@
 
     @contextmanager
     def _guard(self) -> Iterator[None]:
-        """End the keeper when its disk fails, and let the caller see the error too."""
+        """Stop the keeper when its disk fails, and raise the error to the caller as well."""
         try:
             yield
         except StorageError as error:
@@ -285,10 +291,10 @@
     # Turns
 
     async def _run(self) -> None:
-        """Take turns until cancelled.
+        """Run turns until cancelled.
 
-        An error that nobody foresaw ends the keeper like a failed disk. A keeper whose loop died
-        would go on to answer calls from a state that no longer moves.
+        An unexpected error stops the keeper as a failed disk does. Otherwise the loop would end,
+        and the keeper would go on answering calls from a state that never changes.
         """
         while True:
             if self._keeper is None:
@@ -299,7 +305,7 @@
             try:
                 self._keeper.advance(self._clock.monotonic())
                 output = self._keeper.flush()
-                self._hand_out(self._keeper, output)
+                self._deliver(self._keeper, output)
             except StorageError as error:
                 self._fail(error)
                 continue
@@ -312,18 +318,20 @@
             except TimeoutError:
                 continue
 
-    def _hand_out(self, keeper: ConfigurationKeeper, output: KeeperOutput) -> None:
+    def _deliver(self, keeper: ConfigurationKeeper, output: KeeperOutput) -> None:
         members = keeper.replica.log.members
-        followers = self.followers.tell(keeper.replica.is_leader, self._clock.monotonic())
+        followers = self.followers.find_count_to_send(
+            keeper.replica.is_leader, self._clock.monotonic()
+        )
         for message in output.messages:
             self._courier.send(message, members, followers)
         self._calls.answer(keeper, output.verdicts)
-        self._note_leader(keeper)
+        self._log_leader(keeper)
         if keeper.configuration.revision > self._client.revision():
             self._client.take(keeper.configuration.collect_since(self._client.revision()))
 
-    def _note_leader(self, keeper: ConfigurationKeeper) -> None:
-        """Log who leads, whenever that changes."""
+    def _log_leader(self, keeper: ConfigurationKeeper) -> None:
+        """Log the leader whenever it changes."""
         status = keeper.describe()
         if status.leader == self._leader:
             return
@@ -340,7 +348,10 @@
                 logger.error("snapshot-failed", error=str(error))
 
     async def _take_snapshot_if_due(self) -> None:
-        """Write a snapshot between turns; the log is compacted once it is durable."""
+        """Write a snapshot in steps between turns, and compact the log once it is durable.
+
+        The write is abandoned if the keeper is stopped or reopened meanwhile.
+        """
         keeper, storage = self._keeper, self._storage
         snapshot = keeper.capture_if_due() if keeper else None
         if keeper is None or storage is None or snapshot is None:
--- a/packages/node/src/persimmonusher_node/keeper_access.py
+++ b/packages/node/src/persimmonusher_node/keeper_access.py
@@ -1,4 +1,4 @@
-"""What operators ask of the keepers, from any instance: it finds the leader and retries safely."""
+"""Operators' calls to the keepers from any instance: finds the leader and retries safely."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,23 +26,23 @@
 
 T = TypeVar("T")
 
-ANSWER_SECONDS: Final = 10.0
-"""Time that an operator waits for a leader: several elections."""
+ANSWER_TIMEOUT_SECONDS: Final = 10.0
+"""Time that an operator waits for a leader: enough for several elections."""
 
-CALL_SECONDS: Final = 4.0
-"""Time for one keeper's answer; a keeper itself gives up on a change after three."""
+CALL_TIMEOUT_SECONDS: Final = 4.0
+"""Timeout of a call to one keeper; a keeper itself stops waiting for a change after 3 s."""
 
-RETRY_SECONDS: Final = 0.1
+RETRY_PAUSE_SECONDS: Final = 0.1
 
 NO_KEEPER: Final = "no keeper"
-"""The role of an instance that serves no Keeper interface, such as a seed."""
+"""Role reported for an instance that doesn't serve the Keeper interface, such as a seed."""
 
 
 class KeeperAccess:
     """Calls to the keepers.
 
-    Every method is a coroutine and raises UsherError with NO_QUORUM when no leader answered in
-    time. For a change that means that its outcome is unknown: resend the same change id.
+    Calls that need a leader raise UsherError with NO_QUORUM when none answered in time. The outcome
+    of a change is then unknown: resend it with the same change id.
     """
 
     def __init__(self, sources: ConfigurationSources, channels: ChannelPool, clock: Clock) -> None:
@@ -51,11 +51,11 @@
         self._clock = clock
         self._leader_address = ""
 
-    async def propose(self, change: Change, timeout: float = ANSWER_SECONDS) -> Verdict:
-        """Have a change decided; safe to repeat with the same change id."""
+    async def propose(self, change: Change, timeout: float = ANSWER_TIMEOUT_SECONDS) -> Verdict:
+        """Return the verdict on a change; safe to repeat with the same change id."""
 
         async def ask(stub: KeeperStub) -> Verdict | None:
-            reply = await stub.Propose(encode_change(change), timeout=CALL_SECONDS)
+            reply = await stub.Propose(encode_change(change), timeout=CALL_TIMEOUT_SECONDS)
             if reply.WhichOneof("reply") == "verdict":
                 return decode_verdict(reply.verdict)
             self._leader_address = reply.leader_address
@@ -63,34 +63,34 @@
 
         return await self._ask_leader(ask, f"change {change.change_id}", timeout)
 
-    async def confirm(self, timeout: float = ANSWER_SECONDS) -> Revision:
+    async def confirm(self, timeout: float = ANSWER_TIMEOUT_SECONDS) -> Revision:
         """Return a revision that holds every change accepted before the call."""
 
         async def ask(stub: KeeperStub) -> Revision | None:
-            reply = await stub.Confirm(pb.ConfirmRequest(), timeout=CALL_SECONDS)
+            reply = await stub.Confirm(pb.ConfirmRequest(), timeout=CALL_TIMEOUT_SECONDS)
             self._leader_address = reply.leader_address
             return Revision(reply.revision) if reply.HasField("revision") else None
 
         return await self._ask_leader(ask, "the latest revision", timeout)
 
     async def read_history(
-        self, key: ObjectKey, timeout: float = ANSWER_SECONDS
+        self, key: ObjectKey, timeout: float = ANSWER_TIMEOUT_SECONDS
     ) -> tuple[Record, ...]:
         """Return the object's kept records, oldest first, from the first keeper that answers."""
         request = pb.HistoryRequest(kind=KINDS_TO_WIRE[key.kind], name=key.name)
 
         async def ask(stub: KeeperStub) -> tuple[Record, ...] | None:
-            reply = await stub.ReadHistory(request, timeout=CALL_SECONDS)
+            reply = await stub.ReadHistory(request, timeout=CALL_TIMEOUT_SECONDS)
             return tuple(map(decode_record, reply.records))
 
         return await self._ask_leader(ask, f"the history of {key.name!r}", timeout)
 
-    async def dismiss(self, keeper: KeeperId, timeout: float = ANSWER_SECONDS) -> None:
-        """Remove a keeper for good; raise UsherError with BAD_REQUEST when that is refused."""
+    async def dismiss(self, keeper: KeeperId, timeout: float = ANSWER_TIMEOUT_SECONDS) -> None:
+        """Remove a keeper permanently; raise UsherError with BAD_REQUEST if that is refused."""
 
         async def ask(stub: KeeperStub) -> str | None:
             request = pb.DismissRequest(keeper=keeper)
-            reply = await stub.Dismiss(request, timeout=CALL_SECONDS)
+            reply = await stub.Dismiss(request, timeout=CALL_TIMEOUT_SECONDS)
             self._leader_address = reply.leader_address
             return None if reply.not_leader else reply.refusal
 
@@ -99,7 +99,7 @@
             raise UsherError(ErrorCode.BAD_REQUEST, refusal)
 
     async def list_keepers(self) -> tuple[KeeperReport, ...]:
-        """Ask every known keeper for its state; one that doesn't answer is reported so."""
+        """Ask every known keeper for its state; one that doesn't answer is reported as such."""
         reports = await asyncio.gather(*map(self.ask_state, self._sources.keepers))
         return tuple(report for report in reports if report.role != NO_KEEPER)
 
@@ -116,12 +116,12 @@
         return decode_report(address, state)
 
     async def _ask_leader(
-        self, ask: Callable[[KeeperStub], Awaitable[T | None]], wish: str, timeout: float
+        self, ask: Callable[[KeeperStub], Awaitable[T | None]], description: str, timeout: float
     ) -> T:
-        """Ask keeper after keeper, the one named as leader first, until one decides.
+        """Ask one keeper after the other, the named leader first, until one answers.
 
-        The whole is safe to repeat because a change carries its id: a keeper that decided it
-        before gives the same verdict again.
+        Repeating a call is safe because a change carries its id: a keeper that decided it before
+        returns the same verdict again.
         """
         deadline = self._clock.monotonic() + timeout
         failures: dict[str, str] = {}
@@ -138,15 +138,18 @@
                 failures[address] = "does not lead"
                 if self._leader_address not in ("", address):
                     break
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
         tried = "; ".join(f"{address}: {text}" for address, text in failures.items())
-        message = f"no leader of the keepers answered for {wish} within {timeout} s ({tried})"
+        message = (
+            f"no leader of the keepers answered for {description} within {timeout} s ({tried})"
+        )
         raise UsherError(ErrorCode.NO_QUORUM, message)
 
     def _order_keepers(self) -> list[str]:
-        """List the keepers to ask, the leader that was named or that answered last first.
+        """List the keepers to ask, first the leader that was named or that answered last.
 
-        So a keeper that hangs, and costs a whole call's time, is passed by while the leader stays.
+        So a keeper that hangs, and would cost a whole call's timeout, isn't asked while the same
+        leader answers.
         """
         first, self._leader_address = self._leader_address, ""
         return list(dict.fromkeys(filter(None, (first, *self._sources.keepers))))
--- a/packages/node/src/persimmonusher_node/keeper_calls.py
+++ b/packages/node/src/persimmonusher_node/keeper_calls.py
@@ -1,4 +1,4 @@
-"""What is common to calls between instances, and a keeper's state as its callers read it."""
+"""Errors of calls between instances, and the report of a keeper's state."""
 
 import asyncio
 from dataclasses import dataclass
@@ -18,17 +18,17 @@
     OSError,
     asyncio.TimeoutError,
 )
-"""What a call to an instance that is gone, cut off or restarting raises."""
+"""Errors raised by a call to an instance that is gone, unreachable or restarting."""
 
 
 @dataclass(frozen=True)
 class KeeperReport:
-    """A keeper's state as it says itself, or why it couldn't be asked."""
+    """A keeper's state as it reports it, or why it couldn't be asked."""
 
     address: str
     keeper: KeeperId
     empty: bool
-    """True until it holds a log."""
+    """Whether it holds no log yet."""
     role: str
     term: int
     leader: KeeperId
@@ -38,9 +38,9 @@
     revision: Revision
     members: Members
     first_keeper: str
-    """The instance that stands first among the keepers in its settings."""
+    """The instance that its settings list first among the keepers."""
     failure: str
-    """Why it makes no promises, or can't be reached; empty while it works."""
+    """Why it isn't running or can't be reached; empty while it works."""
 
     @classmethod
     def unreachable(cls, address: str, failure: str) -> "KeeperReport":
--- a/packages/node/src/persimmonusher_node/keeper_courier.py
+++ b/packages/node/src/persimmonusher_node/keeper_courier.py
@@ -1,4 +1,4 @@
-"""Carries the log's messages to other keepers; what can't be carried is dropped and sent anew."""
+"""Sends the log's messages to other keepers, without retries: the log itself resends."""
 
 import asyncio
 from typing import Final
@@ -11,22 +11,24 @@
 from persimmonusher_protocol import keeper_pb2 as pb
 from persimmonusher_protocol.keeper_grpc import KeeperStub
 
-MESSAGE_SECONDS: Final = 1.0
-SNAPSHOT_SECONDS: Final = 30.0
+MESSAGE_TIMEOUT_SECONDS: Final = 1.0
+SNAPSHOT_TIMEOUT_SECONDS: Final = 30.0
 
-MESSAGES_IN_FLIGHT: Final = 16
-"""Per keeper. Messages to one that hangs would otherwise gather without bound; the log sends anew
-whatever is dropped."""
+MAX_MESSAGES_IN_FLIGHT: Final = 16
+"""Limit per keeper: messages to one that hangs would otherwise pile up without bound. Further ones
+are dropped, and the log resends them."""
 
 TIMEOUTS_TO_RECONNECT: Final = 3
-"""In a row. One can be a pause of the other's loop, and others use the connection too."""
+"""Consecutive timeouts before reconnecting. A single one can be a pause of the other's event loop,
+and other calls use the connection too."""
 
-ADDRESSES_KEPT: Final = 64
-"""Keepers that are no members here, known by their messages; more can only be strays."""
+MAX_ADDRESSES: Final = 64
+"""Keepers that aren't members here and whose addresses are kept from their messages; more than this
+can only be strays."""
 
 
 class KeeperCourier:
-    """Sends messages to members by their address, and to others by the one they gave."""
+    """Sends messages to members by their listed address, to others by the one they reported."""
 
     def __init__(self, channels: ChannelPool, own_address: str) -> None:
         self._channels = channels
@@ -37,23 +39,26 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def learn_address(self, keeper: KeeperId, address: str) -> None:
-        """Take where a keeper says it listens."""
-        if keeper not in self._addresses and len(self._addresses) >= ADDRESSES_KEPT:
+        """Remember the address at which a keeper says that it listens."""
+        if keeper not in self._addresses and len(self._addresses) >= MAX_ADDRESSES:
             self._addresses.pop(next(iter(self._addresses)))
         self._addresses[keeper] = address
 
     def send(self, message: LogMessage, members: Members, followers: int = 0) -> None:
-        """Send a message without waiting; at most a few are on their way to each keeper."""
+        """Send a message without waiting.
+
+        It is dropped if the address is unknown or too many messages are in flight to it.
+        """
         member = members.find(message.target)
         address = member.address if member else self._addresses.get(message.target, "")
-        if not address or self._in_flight.get(address, 0) >= MESSAGES_IN_FLIGHT:
+        if not address or self._in_flight.get(address, 0) >= MAX_MESSAGES_IN_FLIGHT:
             return
         wire = encode_message(message)
         wire.lineage = members.lineage
         wire.address = self._own_address
         wire.followers = followers
         is_snapshot = isinstance(message, SnapshotRequest)
-        timeout = SNAPSHOT_SECONDS if is_snapshot else MESSAGE_SECONDS
+        timeout = SNAPSHOT_TIMEOUT_SECONDS if is_snapshot else MESSAGE_TIMEOUT_SECONDS
         self._in_flight[address] = self._in_flight.get(address, 0) + 1
         task = start_coroutine(self._call(address, wire, timeout))
         self._tasks.add(task)
@@ -71,11 +76,11 @@
             self._in_flight[address] -= 1
 
     def _count_timeout(self, address: str) -> None:
-        """Give up a connection on which nothing gets through.
+        """Close a connection after several consecutive timeouts.
 
-        Guards against a cut that heals: TCP sends again ever more seldom, up to two minutes apart,
-        so a keeper would stay cut off that long after the network is well. A new connection tries
-        at once.
+        Guards against a network cut that heals: TCP backs off its retransmissions to as much as two
+        minutes, so a keeper would stay unreachable that long after the network works again. A new
+        connection is tried at once.
         """
         count = self._timeouts.get(address, 0) + 1
         self._timeouts[address] = count % TIMEOUTS_TO_RECONNECT
@@ -83,6 +88,6 @@
             self._channels.forget(address)
 
     def stop(self) -> None:
-        """End all calls."""
+        """Cancel all calls in flight."""
         for task in tuple(self._tasks):
             task.cancel()
--- a/packages/node/src/persimmonusher_node/keeper_files.py
+++ b/packages/node/src/persimmonusher_node/keeper_files.py
@@ -1,7 +1,7 @@
-"""Checksummed files in a keeper's folder, durable when a method says so.
+"""Checksummed files in a keeper's folder, durable where a method says so.
 
-Every error of the disk becomes a StorageError: STORAGE_FULL when space ran out, DAMAGED_STORAGE
-when a checksum fails, UNAVAILABLE for the rest.
+Every disk error is raised as a StorageError: STORAGE_FULL when space ran out, DAMAGED_STORAGE when
+a checksum doesn't match, UNAVAILABLE for the rest.
 """
 
 import errno
@@ -24,11 +24,11 @@
 HEADER: Final = struct.Struct(">4sIQ")
 """Magic, length of the payload, and the checksum of length and payload."""
 
-FULL: Final = frozenset({errno.ENOSPC, errno.EDQUOT})
+DISK_FULL_ERRNOS: Final = frozenset({errno.ENOSPC, errno.EDQUOT})
 LOCK_FILE: Final = "lock"
 
 SLICE_BYTES: Final = 1_048_576
-"""Written and synced at a time: about ten milliseconds of a disk."""
+"""Bytes that are written and synced at a time: about ten milliseconds of disk time."""
 
 
 def frame(payload: bytes) -> bytes:
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class FrameScan:
-    """The payloads of a file, and how many bytes at its end are no whole frame."""
+    """The payloads of a file, and the number of bytes at its end that form no whole frame."""
 
     payloads: tuple[bytes, ...]
     valid_bytes: int
@@ -52,9 +52,9 @@
 def scan_frames(content: bytes, name: str) -> FrameScan:
     """Read frames up to a torn end; raise DAMAGED_STORAGE when a whole frame follows a bad one.
 
-    Guards against taking damage for a torn write. A crash can only tear the frame that was being
-    written, which is the last. A bad frame before a good one was durable once, so promises rest on
-    it, and the keeper must not go on without it.
+    Guards against mistaking damage for a torn write. A crash can only tear the frame that was being
+    written, which is the last. A bad frame before a good one was durable once, and the keeper has
+    made promises based on it, so it must not go on without it.
     """
     payloads: list[bytes] = []
     offset = 0
@@ -102,7 +102,10 @@
         return self
 
     def _hold_lock(self, descriptor: int) -> None:
-        """Keep a second process off the folder: two writers would mix up one keeper's promises."""
+        """Lock the folder against a second process.
+
+        Two writers could each make promises for the same keeper that contradict each other.
+        """
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
@@ -125,7 +128,7 @@
         self._appending = self._lock = None
 
     def exists(self, name: str) -> bool:
-        """Tell whether a file of this name is there."""
+        """Return whether a file of this name exists."""
         return (self.folder / name).exists()
 
     def read(self, name: str) -> bytes:
@@ -134,17 +137,17 @@
             return (self.folder / name).read_bytes()
 
     def read_record(self, name: str) -> bytes:
-        """Return the payload of a file of one record; anything else is damage."""
+        """Return the payload of a file of one record; raise DAMAGED_STORAGE for any other."""
         scan = scan_frames(self.read(name), name)
         if len(scan.payloads) != 1 or scan.torn_bytes:
             raise StorageError(ErrorCode.DAMAGED_STORAGE, f"{name}: the checksum doesn't fit")
         return scan.payloads[0]
 
     def replace(self, name: str, content: bytes) -> None:
-        """Replace a file; on return the new content is durable, on a crash one of the two is.
+        """Replace a file: the new content is durable on return; after a crash one of the two is.
 
-        The order is what holds: the new file is synced before it takes the name, and the folder is
-        synced before anything is promised.
+        This rests on the order: the new file is synced before it is renamed, and the folder is
+        synced before the method returns.
         """
         temporary = self.folder / f"{name}.new"
         with self._translate_errors(name):
@@ -158,10 +161,10 @@
             self._sync_folder(self.folder)
 
     def write_in_slices(self, name: str, content: bytes) -> Iterator[None]:
-        """Write and sync a new file slice by slice, so that the loop goes on between them.
+        """Write and sync a new file slice by slice; the event loop can run between them.
 
-        Guards against a keeper whose loop stands still while tens of megabytes reach the disk: it
-        would miss its heartbeats and lose the lead.
+        Guards against blocking the loop while tens of megabytes are written to the disk: a leader
+        would miss its heartbeats and be replaced.
         """
         with self._translate_errors(name):
             descriptor = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
@@ -174,20 +177,20 @@
                 os.close(descriptor)
 
     def rename(self, written: str, name: str) -> None:
-        """Let a written and synced file take a name; durable on return."""
+        """Rename a written and synced file; durable on return."""
         with self._translate_errors(name):
             os.replace(self.folder / written, self.folder / name)
             self._sync_folder(self.folder)
 
     def open_append(self, name: str) -> None:
-        """Begin to append to a file."""
+        """Open a file for `append`, in place of the one opened before."""
         with self._translate_errors(name):
             if self._appending is not None:
                 os.close(self._appending)
             self._appending = os.open(self.folder / name, os.O_WRONLY | os.O_APPEND)
 
     def append(self, content: bytes) -> None:
-        """Add to the file opened last; durable on return."""
+        """Append to the file opened last; durable on return."""
         assert self._appending is not None
         with self._translate_errors("log"):
             self._write(self._appending, content)
@@ -230,5 +233,7 @@
         try:
             yield
         except OSError as error:
-            code = ErrorCode.STORAGE_FULL if error.errno in FULL else ErrorCode.UNAVAILABLE
+            code = (
+                ErrorCode.STORAGE_FULL if error.errno in DISK_FULL_ERRNOS else ErrorCode.UNAVAILABLE
+            )
             raise StorageError(code, f"{self.folder / name}: {error.strerror}") from error
--- a/packages/node/src/persimmonusher_node/keeper_formation.py
+++ b/packages/node/src/persimmonusher_node/keeper_formation.py
@@ -1,10 +1,10 @@
-"""How a keeper with an empty disk finds its place: it forms the first log, or asks to join one.
+"""How a keeper without a log becomes a member: it forms the first log, or asks to join one.
 
-Only the keeper that stands first in the settings of all may form the log, and only when every
-keeper of the settings answers, holds no log, and names the same first keeper. So one writer makes
-the first members, and a fleet that has a log can't be formed again: a keeper that holds it either
-answers, and says so, or doesn't answer, and then nothing is formed. Everyone else waits to be
-called by the leader, or, not being a member, asks to join as a learner.
+Only the keeper that is listed first in the settings may form the log, and only when every listed
+keeper answers, holds no log, and names the same first keeper. So a single writer makes the first
+members, and a fleet that has a log can't be formed again: a keeper that holds the log either
+answers and reports it, or doesn't answer, and then nothing is formed. Every other keeper waits for
+the leader's messages, or, if it isn't a member, asks to join as a learner.
 """
 
 import secrets
@@ -20,7 +20,7 @@
 
 
 class Step(Enum):
-    """What a keeper without a log does next."""
+    """The next step of a keeper without a log."""
 
     WAIT = "wait"
     FORM = "form"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A keeper without a log that asks for a place."""
+    """A keeper that asks to become a member."""
 
     keeper: KeeperId
     address: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Formation:
-    """The next step, with the members to form or the addresses to ask."""
+    """The next step, with the members of a log to form or the addresses to ask."""
 
     step: Step
     members: Members | None = None
@@ -46,28 +46,28 @@
 
 
 class KeeperFormation(ABC):
-    """How a keeper without a place in a log finds one."""
+    """The policy by which a keeper that isn't a member becomes one."""
 
     asks_again = False
-    """Whether a keeper that lost its place, without a word of an operator, asks for it again."""
+    """Whether a keeper that was replaced as a member asks to join again, without an operator."""
 
     @abstractmethod
     def list_addresses(self) -> Sequence[str]:
         """List the peer addresses whose state the plan needs."""
 
     def note_candidate(self, candidate: Candidate, now: float) -> None:
-        """Take a keeper that asked this one, which holds no log, for a place."""
+        """Note a keeper that asked this one to join while this one held no log."""
         return
 
     @abstractmethod
     def plan(
         self, own: KeeperId, reports: Sequence[KeeperReport], known_revision: int, now: float
     ) -> Formation:
-        """Decide on the next step, from the state of the addresses listed."""
+        """Decide on the next step from the reports of the listed addresses."""
 
 
 class ListedFormation(KeeperFormation):
-    """The first keepers are listed in the settings, the same on each of them."""
+    """The first members are listed in the settings, which must be the same on each of them."""
 
     def __init__(self, keepers: Sequence[Keeper]) -> None:
         self._keepers = tuple(keepers)
@@ -79,7 +79,7 @@
     def plan(
         self, own: KeeperId, reports: Sequence[KeeperReport], known_revision: int, now: float
     ) -> Formation:
-        """Form the log once all listed keepers are there, or join the one that there is."""
+        """Form the log once all listed keepers answer, or join the existing one."""
         return plan_formation(own, self._keepers, reports, known_revision)
 
 
@@ -91,12 +91,12 @@
 ) -> Formation:
     """Decide on the next step of a keeper that holds no log.
 
-    `reports` are the states of the settings' keepers, this one's included. `known_revision` is the
-    configuration's revision at this instance.
+    `reports` are the states of the listed keepers, including this one. `known_revision` is the
+    revision of the configuration at this instance.
 
-    Guards against forming a new, empty fleet over a lost one: when all disks were wiped, the
-    entries still have the configuration in force. Their revision above 0 shows it, and an operator
-    has to decide.
+    Guards against forming a new, empty log in place of a lost one: when all disks were wiped, the
+    entries still have the configuration in force. A known revision above 0 shows that, and an
+    operator has to decide.
     """
     formed = [report for report in reports if report.members.members]
     if formed:
--- a/packages/node/src/persimmonusher_node/keeper_joining.py
+++ b/packages/node/src/persimmonusher_node/keeper_joining.py
@@ -1,4 +1,4 @@
-"""How a keeper without a place in a log finds one: it forms the log, or asks to join."""
+"""The task by which a keeper that isn't a member forms the log or asks to join it."""
 
 import asyncio
 from collections.abc import Sequence
@@ -22,16 +22,16 @@
 
 logger = structlog.get_logger(__name__)
 
-FORMATION_SECONDS: Final = 0.3
-"""Time between a keeper's questions while it holds no log."""
-JOIN_SECONDS: Final = 1.0
-LONELY_SECONDS: Final = 3.0
-"""A keeper that has heard no leader for this long asks the others whether it still has its place;
-longer than an election, so that it doesn't ask while one is held."""
+FORMATION_INTERVAL_SECONDS: Final = 0.3
+"""Time between checks whether this keeper has to form or join a log."""
+JOIN_TIMEOUT_SECONDS: Final = 1.0
+LEADERLESS_SECONDS: Final = 3.0
+"""A keeper without messages from a leader for this long asks the others whether it is still a
+member; longer than an election, so that it doesn't ask during one."""
 
 
 class KeeperJoining:
-    """Asks the other keepers for a place while this one has none."""
+    """Asks the other keepers to admit this one while it isn't a member."""
 
     def __init__(
         self,
@@ -50,21 +50,21 @@
         self._formation = formation
 
     async def run(self) -> None:
-        """Look again and again whether this keeper needs a place, until cancelled."""
+        """Check at intervals whether this keeper has to form or join a log, until cancelled."""
         while True:
             try:
-                if self._needs_place():
+                if self._needs_membership():
                     await self._take_step()
             except UsherError as error:
                 logger.error("formation-failed", error=str(error))
-            await asyncio.sleep(FORMATION_SECONDS)
+            await asyncio.sleep(FORMATION_INTERVAL_SECONDS)
 
-    def _needs_place(self) -> bool:
-        """Tell whether this keeper holds no log, or hears nobody who leads the one it holds.
+    def _needs_membership(self) -> bool:
+        """Return whether this keeper holds no log, or no leader of its log sends it messages.
 
         Guards against a voter that was replaced while it was frozen or cut off: nobody writes to
-        it any more, and its own log still names it a voter. It asks the others, and where their
-        members don't name it, for a place.
+        it any more, and its own log still names it a voter. It asks the others for their members,
+        and if they don't include it, asks to join.
         """
         if not self._role.is_open:
             return False
@@ -72,7 +72,7 @@
             return True
         if not self._formation.asks_again:
             return False
-        return self._role.keeper.replica.find_silence(self._clock.monotonic()) > LONELY_SECONDS
+        return self._role.keeper.replica.find_silence(self._clock.monotonic()) > LEADERLESS_SECONDS
 
     async def _take_step(self) -> None:
         identity = self._role.identity
@@ -81,7 +81,7 @@
         known = [member.address for member in members if member.keeper != identity]
         addresses = dict.fromkeys((*self._formation.list_addresses(), *known))
         reports = await asyncio.gather(*map(ask, addresses))
-        if not self._needs_place():
+        if not self._needs_membership():
             return
         others = [report for report in reports if report.keeper != identity]
         asked = reports if is_empty(self._role.keeper) else others
@@ -103,11 +103,11 @@
         for address in addresses:
             try:
                 stub = KeeperStub(self._channels.get(address))
-                await stub.Introduce(request, timeout=JOIN_SECONDS)
+                await stub.Introduce(request, timeout=JOIN_TIMEOUT_SECONDS)
             except CALL_ERRORS as error:
                 logger.debug("keeper-not-asked", address=address, error=repr(error))
 
 
 def is_empty(keeper: ConfigurationKeeper) -> bool:
-    """Tell whether a keeper holds no log."""
+    """Return whether a keeper holds no log."""
     return not keeper.replica.log.members.members
--- a/packages/node/src/persimmonusher_node/keeper_message_wire.py
+++ b/packages/node/src/persimmonusher_node/keeper_message_wire.py
@@ -1,4 +1,4 @@
-"""Conversion between the messages of the log and their one protobuf envelope."""
+"""Conversion between the messages of the log and their common protobuf envelope."""
 
 from math import ceil
 from typing import Final
@@ -23,12 +23,12 @@
 )
 from persimmonusher_protocol import keeper_pb2 as pb
 
-LONGEST_LEAD_SECONDS: Final = 1_000_000.0
-"""A contact further from the answer is left out: its milliseconds may not fit the field."""
+MAX_LEAD_SECONDS: Final = 1_000_000.0
+"""A contact with a larger lead is left out, as its milliseconds may not fit into the field."""
 
 
 def encode_message(message: LogMessage) -> pb.LogMessage:
-    """Return the envelope of a message."""
+    """Return the envelope that holds a message."""
     wire = pb.LogMessage(source=message.source, target=message.target, term=message.term)
     match message:
         case PreVoteRequest():
@@ -70,14 +70,14 @@
         round=message.round,
     )
     contact = message.contact
-    if contact is not None and abs(contact.lead) <= LONGEST_LEAD_SECONDS:
+    if contact is not None and abs(contact.lead) <= MAX_LEAD_SECONDS:
         wire.answer = contact.answer
         wire.majority_lead_ms = ceil(contact.lead * 1000.0)
     return wire
 
 
 def decode_message(wire: pb.LogMessage) -> LogMessage:
-    """Return the message in an envelope; raises ValueError for an empty one."""
+    """Return the message in an envelope; raise ValueError for an empty or unknown one."""
     source, target, term = KeeperId(wire.source), KeeperId(wire.target), wire.term
     match wire.WhichOneof("message"):
         case "pre_vote_request":
--- a/packages/node/src/persimmonusher_node/keeper_seeds.py
+++ b/packages/node/src/persimmonusher_node/keeper_seeds.py
@@ -1,9 +1,9 @@
-"""Finding a place among keepers that are known by a few seeds only.
+"""Formation of the keepers' log when only a few seed addresses are known.
 
-Seeds are addresses without names, and say nothing of how many keepers there are. Where the settings
-say that the fleet starts for the first time, the first seed gathers the keepers that ask it for a
-place and forms the log with as many as the tolerated losses call for. Everyone else asks the seeds,
-and later the members that it remembers, for a place in the log that there is.
+Seeds are addresses without names, and don't show how many keepers there are. If the settings say
+that the fleet starts for the first time, the first seed collects the keepers that ask it to join,
+and forms the log with as many as the tolerated losses require. Every other keeper asks the seeds,
+and later also the members that its log names, to admit it to the existing log.
 """
 
 import secrets
@@ -15,15 +15,16 @@
 from persimmonusher_node.keeper_calls import KeeperReport
 from persimmonusher_node.keeper_formation import Candidate, Formation, KeeperFormation, Step
 
-GATHER_SECONDS: Final = 3.0
-"""How long the first seed waits for as many keepers as are wanted, once all seeds answer. Machines
-started together are there within a second; with fewer, acknowledgements need all of them."""
-CANDIDATE_SECONDS: Final = 2.0
-"""A keeper that asked for a place asks again within a second; one that stopped asking is gone."""
+GATHER_TIMEOUT_SECONDS: Final = 3.0
+"""Longest wait of the first seed for the wanted number of keepers, once all seeds answer. Machines
+that start together answer within a second. A log with too few keepers needs all of them for an
+acknowledgement."""
+CANDIDATE_EXPIRY_SECONDS: Final = 2.0
+"""A keeper that asks to join repeats it within a second; one that has stopped asking is gone."""
 
 
 class SeededFormation(KeeperFormation):
-    """The first keepers are those that ask the first seed, up to the number wanted."""
+    """The first members are the seeds and the keepers that ask the first seed, up to a number."""
 
     asks_again = True
 
@@ -44,7 +45,7 @@
         self._complete_since: float | None = None
 
     def replace_seeds(self, seeds: Sequence[str]) -> None:
-        """Take other seeds, from changed settings."""
+        """Set the seeds from reloaded settings."""
         self._seeds = tuple(seeds)
 
     def list_addresses(self) -> Sequence[str]:
@@ -52,17 +53,17 @@
         return self._seeds
 
     def note_candidate(self, candidate: Candidate, now: float) -> None:
-        """Remember a keeper that asked for a place."""
+        """Remember a keeper that asked to join."""
         self._candidates[candidate.keeper] = (candidate, now)
 
     def plan(
         self, own: KeeperId, reports: Sequence[KeeperReport], known_revision: int, now: float
     ) -> Formation:
-        """Decide on the next step of a keeper without a place.
+        """Decide on the next step of a keeper that isn't a member.
 
         Guards against two logs: only the first seed forms one, only at the first start of the
         whole fleet, and only while every seed answers that it holds none. A keeper that lost its
-        disk starts with settings that don't allow it, and asks for a place instead.
+        disk is started with settings that don't allow this, and asks to join instead.
         """
         formed = [report for report in reports if report.members.members]
         if formed:
@@ -77,7 +78,7 @@
             self._complete_since = now
         candidates = self._gather(own, answered, now)
         waited = now - self._complete_since
-        if len(candidates) < self._wanted and waited < GATHER_SECONDS:
+        if len(candidates) < self._wanted and waited < GATHER_TIMEOUT_SECONDS:
             return Formation(Step.WAIT)
         chosen = candidates[: self._wanted]
         addresses = {candidate.keeper: candidate.address for candidate in chosen}
@@ -102,11 +103,11 @@
     def _gather(
         self, own: KeeperId, answered: Sequence[KeeperReport], now: float
     ) -> list[Candidate]:
-        """List this keeper, the seeds, and the others that still ask, in this order."""
+        """List this keeper, the other seeds, and the keepers that still ask, in this order."""
         asking = {
             keeper: candidate
             for keeper, (candidate, at) in self._candidates.items()
-            if now - at < CANDIDATE_SECONDS
+            if now - at < CANDIDATE_EXPIRY_SECONDS
         }
         seeds = {report.keeper: Candidate(report.keeper, report.address) for report in answered}
         seeds[own] = Candidate(own, self._own_address, self._own_domain)
--- a/packages/node/src/persimmonusher_node/keeper_service.py
+++ b/packages/node/src/persimmonusher_node/keeper_service.py
@@ -1,4 +1,4 @@
-"""The keepers' gRPC service over one keeper role."""
+"""The Keeper gRPC service, which exposes one keeper role."""
 
 from typing import TYPE_CHECKING, Final
 
@@ -21,20 +21,20 @@
 from persimmonusher_protocol.keeper_grpc import KeeperBase
 
 LEARNER: Final = "learner"
-"""The role of a keeper that doesn't count for a majority, or not yet."""
+"""Reported role of a keeper that doesn't count towards a majority, or not yet."""
 
 if TYPE_CHECKING:
     from persimmonusher_node.keeper import KeeperRole
 
 
 class KeeperService(KeeperBase):
-    """Answers keepers and, on behalf of operators, other instances."""
+    """Answers other keepers, and instances that call on behalf of operators."""
 
     def __init__(self, role: "KeeperRole") -> None:
         self._role = role
 
     async def Step(self, stream: "Stream[pb.LogMessage, pb.Ack]") -> None:  # noqa: N802
-        """Take a message of the log."""
+        """Handle a message of the log."""
         request = await stream.recv_message()
         assert request is not None
         try:
@@ -44,7 +44,7 @@
         await stream.send_message(pb.Ack())
 
     async def Propose(self, stream: "Stream[pb.Change, pb.ProposeReply]") -> None:  # noqa: N802
-        """Have a change decided, or say who leads."""
+        """Answer with the verdict on a change, or with the leader's address."""
         request = await stream.recv_message()
         assert request is not None
         try:
@@ -62,7 +62,7 @@
     async def Introduce(  # noqa: N802
         self, stream: "Stream[pb.IntroduceRequest, pb.KeeperState]"
     ) -> None:
-        """Tell this keeper's state, and take in a keeper that asks to join."""
+        """Answer with this keeper's state, and handle the caller's request to join, if any."""
         request = await stream.recv_message()
         assert request is not None
         try:
@@ -79,7 +79,7 @@
     async def Confirm(  # noqa: N802
         self, stream: "Stream[pb.ConfirmRequest, pb.ConfirmReply]"
     ) -> None:
-        """Tell a revision that holds every change accepted before the call."""
+        """Answer with a revision that holds every change accepted before the call."""
         await stream.recv_message()
         try:
             reply = pb.ConfirmReply(revision=await self._role.confirm())
@@ -90,7 +90,7 @@
     async def ReadHistory(  # noqa: N802
         self, stream: "Stream[pb.HistoryRequest, pb.HistoryReply]"
     ) -> None:
-        """Tell the kept records of an object."""
+        """Answer with the kept records of an object."""
         request = await stream.recv_message()
         assert request is not None
         key = ObjectKey(KINDS_FROM_WIRE[request.kind], request.name)
@@ -105,7 +105,7 @@
     async def Dismiss(  # noqa: N802
         self, stream: "Stream[pb.DismissRequest, pb.DismissReply]"
     ) -> None:
-        """Remove a keeper for good, or say who leads."""
+        """Remove a keeper permanently, or answer with the leader's address or a refusal."""
         request = await stream.recv_message()
         assert request is not None
         reply = pb.DismissReply()
--- a/packages/node/src/persimmonusher_node/keeper_storage.py
+++ b/packages/node/src/persimmonusher_node/keeper_storage.py
@@ -1,8 +1,9 @@
-"""A keeper's disk: identity, vote, snapshot and log, each checksummed.
+"""A keeper's files on disk: identity, vote, snapshot and log, each checksummed.
 
 The log file is a base record and then one record for each sync, so that a crash can tear at most
-the last record. Opening rewrites the log into a new, synced file: what an earlier process wrote but
-never synced may be read back from the page cache, and must be durable before it is promised.
+the last record. Loading rewrites the log into a new, synced file: what an earlier process wrote but
+never synced may be read back from the page cache, and must be durable before the keeper relies on
+it.
 """
 
 import secrets
@@ -31,19 +32,19 @@
 VOTE: Final = "vote"
 SNAPSHOT: Final = "snapshot"
 LOG: Final = "log"
-PREPARED: Final = "snapshot.prepared"
+PREPARED_SNAPSHOT: Final = "snapshot.prepared"
 DISK_ID_BYTES: Final = 8
 
 
 @dataclass(frozen=True)
 class OpenReport:
-    """What was found on the disk, for the log and for operators."""
+    """What opening the disk found, for the log line about it."""
 
     new_identity: bool
     torn_bytes: int
     """Bytes of an unfinished last record that were cut off."""
     set_aside: Path | None
-    """Where a damaged folder's files went."""
+    """The folder to which the files of a damaged folder were moved."""
     damage: str
 
 
@@ -55,9 +56,9 @@
 class KeeperStorage(LogStorage):
     """The storage port on real files.
 
-    Constructed with the files of one folder, already entered as a context. A folder without an
-    identity is made new; a damaged one is set aside and made new, so the keeper comes back as
-    another identity that never voted.
+    `files` must already be entered as a context. A folder without an identity is initialised; the
+    files of a damaged one are set aside and it is initialised too, so that the keeper comes back
+    with another identity that never voted.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
     ) -> None:
         self._files = files
         self._truncate_from = 0
-        self._waiting: list[Entry] = []
+        self._pending: list[Entry] = []
         self._torn_bytes = 0
         self._prepared: Snapshot | None = None
         set_aside, damage = None, ""
@@ -90,7 +91,7 @@
         self.report = OpenReport(is_new, self._torn_bytes, set_aside, damage)
 
     def _create(self, instance: InstanceId, disk_id: str) -> StoredLog:
-        """Make a new folder; the identity comes last, so that without it nothing was promised."""
+        """Initialise the folder; the identity is written last, as no promise is made without it."""
         stored = StoredLog(Vote(0, None), None, ())
         if self._files.exists(SNAPSHOT) or self._files.exists(LOG):
             self._files.set_aside("without-identity")
@@ -136,23 +137,23 @@
         return stored
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries after the last; written and durable only after `sync`."""
-        self._waiting.extend(entries)
+        """Add entries after the last one; written and durable only after `sync`."""
+        self._pending.extend(entries)
 
     def truncate(self, index: int) -> None:
         """Drop the entries from this index on; durable only after `sync`."""
-        self._waiting = [entry for entry in self._waiting if entry.index < index]
+        self._pending = [entry for entry in self._pending if entry.index < index]
         self._truncate_from = min(self._truncate_from or index, index)
 
     def sync(self) -> None:
-        """Write what waits as one record and return once it is durable."""
-        if not self._waiting and not self._truncate_from:
+        """Write the pending changes as one record and return once it is durable."""
+        if not self._pending and not self._truncate_from:
             return
         batch = pb.LogBatch(
-            truncate_from=self._truncate_from, entries=map(encode_entry, self._waiting)
+            truncate_from=self._truncate_from, entries=map(encode_entry, self._pending)
         )
         self._files.append(frame(batch.SerializeToString()))
-        self._waiting.clear()
+        self._pending.clear()
         self._truncate_from = 0
 
     def save_vote(self, vote: Vote) -> None:
@@ -161,27 +162,27 @@
         self._files.replace(VOTE, frame(wire.SerializeToString()))
 
     def prepare_snapshot(self, snapshot: Snapshot) -> Iterator[None]:
-        """Encode and write a snapshot in slices; `save_snapshot` of it is then quick.
+        """Encode and write a snapshot in slices, so that `save_snapshot` of it is quick.
 
-        Nothing refers to the file until then, so a crash between leaves the former snapshot.
+        The file isn't used until then, so a crash in between leaves the previous snapshot in use.
         """
         parts = []
         for part in encode_snapshot_parts(snapshot):
             parts.append(part.SerializeToString())
             yield
-        yield from self._files.write_in_slices(PREPARED, frame(b"".join(parts)))
+        yield from self._files.write_in_slices(PREPARED_SNAPSHOT, frame(b"".join(parts)))
         self._prepared = snapshot
 
     def save_snapshot(self, snapshot: Snapshot, kept: Sequence[Entry]) -> None:
-        """Replace the snapshot and then the log; a crash between is mended by `match_snapshot`."""
+        """Replace the snapshot and then the log; `match_snapshot` handles a crash in between."""
         if self._prepared is snapshot:
-            self._files.rename(PREPARED, SNAPSHOT)
+            self._files.rename(PREPARED_SNAPSHOT, SNAPSHOT)
         else:
             content = frame(encode_snapshot(snapshot).SerializeToString())
             self._files.replace(SNAPSHOT, content)
         self._prepared = None
         self._rewrite_log(snapshot.index, snapshot.term, kept)
-        self._waiting.clear()
+        self._pending.clear()
         self._truncate_from = 0
 
     def _rewrite_log(self, index: int, term: int, entries: Sequence[Entry]) -> None:
@@ -207,10 +208,11 @@
 def match_snapshot(
     base_index: int, base_term: int, entries: Sequence[Entry], snapshot: Snapshot | None
 ) -> tuple[Entry, ...]:
-    """Return the entries that go on from the snapshot, also after a crash between the two files.
+    """Return the entries that follow the snapshot, also after a crash between the two writes.
 
-    The snapshot is replaced first. A log that holds its last entry goes on after it; one that
-    holds another entry there was overruled by it. A log that begins after it has lost it.
+    The snapshot is replaced first. If the log holds the snapshot's last entry, the entries after it
+    are valid; if it holds another entry or none there, the snapshot overrides the log. If the log
+    begins after the snapshot's end, entries are missing, and DAMAGED_STORAGE is raised.
     """
     index = snapshot.index if snapshot else 0
     term = snapshot.term if snapshot else 0
--- a/packages/node/src/persimmonusher_node/keeper_waiting.py
+++ b/packages/node/src/persimmonusher_node/keeper_waiting.py
@@ -1,4 +1,4 @@
-"""Calls that wait at a keeper for a majority: changes and confirmed reads."""
+"""Calls at a keeper that wait for a majority: changes and confirmed reads."""
 
 import asyncio
 from collections.abc import Awaitable, Mapping
@@ -11,26 +11,27 @@
 
 T = TypeVar("T")
 
-ANSWER_SECONDS: Final = 3.0
+MAJORITY_TIMEOUT_SECONDS: Final = 3.0
 """Time that a call waits for a majority before its outcome is reported as unknown."""
 
 
-WAITING_LIMIT: Final = 1_000
-"""Calls that wait at once: half an hour of the target's changes within three seconds. Beyond that
-a script runs wild, and refusing it keeps the log for the others."""
+MAX_WAITING_CALLS: Final = 1_000
+"""Calls that may wait at the same time: the target rate takes half an hour to make as many changes,
+here within three seconds. More can only come from a runaway script, and refusing them keeps the log
+available to others."""
 
 
 class WaitingCalls:
-    """Futures of calls, answered once by a turn of the keeper or failed together."""
+    """Futures of the waiting calls: a turn of the keeper resolves each, or all fail together."""
 
     def __init__(self) -> None:
         self._changes: dict[str, list[asyncio.Future[Verdict]]] = {}
         self._reads: list[tuple[ReadTicket, asyncio.Future[Revision]]] = []
 
     def check_limit(self) -> None:
-        """Raise UNAVAILABLE while too many calls wait already; nothing was appended then."""
-        if len(self._changes) + len(self._reads) >= WAITING_LIMIT:
-            message = f"{WAITING_LIMIT} calls wait for a majority already"
+        """Raise UNAVAILABLE if too many calls wait already; call it before appending anything."""
+        if len(self._changes) + len(self._reads) >= MAX_WAITING_CALLS:
+            message = f"{MAX_WAITING_CALLS} calls wait for a majority already"
             raise UsherError(ErrorCode.UNAVAILABLE, message)
 
     def wait_for_verdict(self, change_id: str) -> Awaitable[Verdict]:
@@ -40,13 +41,13 @@
         return _wait(future)
 
     def wait_for_read(self, ticket: ReadTicket) -> Awaitable[Revision]:
-        """Wait until a majority confirmed the leader; raises UNAVAILABLE without one."""
+        """Wait until a majority has confirmed the leader; raises UNAVAILABLE without one."""
         future: asyncio.Future[Revision] = asyncio.get_event_loop().create_future()
         self._reads.append((ticket, future))
         return _wait(future)
 
     def answer(self, keeper: ConfigurationKeeper, verdicts: Mapping[str, Verdict]) -> None:
-        """Answer what a turn decided; without the lead the rest gets its answer at once."""
+        """Resolve the calls that a turn decided; fail all others if this keeper doesn't lead."""
         for change_id, verdict in verdicts.items():
             for future in self._changes.pop(change_id, ()):
                 if not future.done():
@@ -59,7 +60,7 @@
             self.fail("this keeper doesn't lead any more")
 
     def fail(self, reason: str) -> None:
-        """Tell all that wait that the outcome is unknown."""
+        """Fail all waiting calls with UNAVAILABLE: their outcome is unknown."""
         futures: list[asyncio.Future[Verdict] | asyncio.Future[Revision]] = []
         for waiting in self._changes.values():
             futures.extend(waiting)
@@ -73,7 +74,7 @@
 
 async def _wait(future: "asyncio.Future[T]") -> T:
     try:
-        return await asyncio.wait_for(future, ANSWER_SECONDS)
+        return await asyncio.wait_for(future, MAJORITY_TIMEOUT_SECONDS)
     except TimeoutError:
-        message = f"no majority answered within {ANSWER_SECONDS} s"
+        message = f"no majority answered within {MAJORITY_TIMEOUT_SECONDS} s"
         raise UsherError(ErrorCode.UNAVAILABLE, message) from None
--- a/packages/node/src/persimmonusher_node/keeper_wire.py
+++ b/packages/node/src/persimmonusher_node/keeper_wire.py
@@ -30,8 +30,8 @@
 from persimmonusher_model.identifiers import Revision
 from persimmonusher_protocol import keeper_pb2 as pb
 
-PART_ITEMS: Final = 1_000
-"""Records encoded at a time: about ten milliseconds."""
+RECORDS_PER_PART: Final = 1_000
+"""Records encoded at a time: about ten milliseconds of work."""
 
 KINDS_TO_WIRE: Final = {
     ObjectKind.PROFILE: pb.PROFILE,
@@ -82,8 +82,8 @@
 def decode_record(wire: pb.Record) -> Record:
     """Return the record of a wire message.
 
-    Equal bodies of routes and services, and operators' names, are kept once: at 200,000 routes
-    they would take a quarter of the memory that the configuration may use.
+    Equal bodies, but those of profiles, and operators' names are interned: kept once for each of
+    200,000 routes, they would take a quarter of the memory that the configuration may use.
     """
     kind = KINDS_FROM_WIRE[wire.kind]
     body = wire.body if wire.HasField("body") else None
@@ -100,7 +100,7 @@
 
 def encode_parts(batch: Batch, keepers: Sequence[str] = ()) -> Iterator[pb.PullPart]:
     """Yield a batch in parts; the last one names the keepers' addresses, where there are any."""
-    starts = range(0, max(1, len(batch.records)), PART_ITEMS)
+    starts = range(0, max(1, len(batch.records)), RECORDS_PER_PART)
     for start in starts:
         is_last = start == starts[-1]
         yield pb.PullPart(
@@ -108,7 +108,7 @@
             since=batch.since,
             revision=batch.revision,
             whole=batch.whole,
-            records=map(encode_record, batch.records[start : start + PART_ITEMS]),
+            records=map(encode_record, batch.records[start : start + RECORDS_PER_PART]),
             last=is_last,
             keepers=keepers if is_last else (),
         )
@@ -200,9 +200,10 @@
 
 
 def encode_snapshot_parts(snapshot: Snapshot) -> Iterator[pb.Snapshot]:
-    """Return the wire form in parts that are each quick to encode.
+    """Yield the wire form in parts that are each quick to encode.
 
-    Their encoded bytes, put together, are those of the whole: protobuf appends what repeats.
+    The concatenation of the encoded parts decodes to the whole: protobuf merges repeated fields by
+    appending them.
     """
     state = snapshot.state
     yield pb.Snapshot(
@@ -213,13 +214,15 @@
         revision=state.revision,
         tombstone_floor=state.tombstone_floor,
     )
-    for start in range(0, len(state.records), PART_ITEMS):
-        yield pb.Snapshot(records=map(encode_record, state.records[start : start + PART_ITEMS]))
-    for start in range(0, len(state.histories), PART_ITEMS):
-        items = state.histories[start : start + PART_ITEMS]
+    for start in range(0, len(state.records), RECORDS_PER_PART):
+        yield pb.Snapshot(
+            records=map(encode_record, state.records[start : start + RECORDS_PER_PART])
+        )
+    for start in range(0, len(state.histories), RECORDS_PER_PART):
+        items = state.histories[start : start + RECORDS_PER_PART]
         yield pb.Snapshot(histories=map(encode_record, items))
-    for start in range(0, len(state.verdicts), PART_ITEMS):
-        verdicts = state.verdicts[start : start + PART_ITEMS]
+    for start in range(0, len(state.verdicts), RECORDS_PER_PART):
+        verdicts = state.verdicts[start : start + RECORDS_PER_PART]
         yield pb.Snapshot(verdicts=map(_encode_stored, verdicts))
 
 
--- a/packages/node/src/persimmonusher_node/tiers/__init__.py
+++ b/packages/node/src/persimmonusher_node/tiers/__init__.py
@@ -1,1 +1,1 @@
-"""Entries and keepers as separate roles: entries follow a keeper, which tells them all else."""
+"""Entries and keepers as separate roles: an entry gets all shared state from a keeper."""
--- a/packages/node/src/persimmonusher_node/tiers/edge.py
+++ b/packages/node/src/persimmonusher_node/tiers/edge.py
@@ -1,6 +1,6 @@
 """Ports of an adapter for another system's names, formats and calls.
 
-The adapter translates; it decides nothing. What it is given here are the product's own types.
+The adapter translates and decides nothing. These ports use the product's own types only.
 """
 
 from abc import ABC, abstractmethod
@@ -14,35 +14,35 @@
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """What a backend server is told when its registration was taken."""
+    """The answer to a backend server whose registration was accepted."""
 
     address: str | None
     """A keeper in the server's failure domain for later heartbeats, or None for any."""
 
 
 class ControlPort(ABC):
-    """What backend servers and operators may ask of a keeper.
+    """The calls of backend servers and operators to a keeper.
 
     Each call waits in its green thread for a majority where one is needed, and raises UsherError:
-    NO_QUORUM or UNAVAILABLE where the outcome is unknown or nothing was done and another keeper
-    may help; any other code says that the input is at fault.
+    NO_QUORUM or UNAVAILABLE if the outcome is unknown or nothing was done, so that another keeper
+    may help; any other code means that the input is at fault.
     """
 
     @abstractmethod
     def register(self, registration: Registration) -> Heartbeat:
-        """Take what a server says of itself; a change of it is held by a majority on return."""
+        """Accept a server's registration; a majority holds any change in it on return."""
 
     @abstractmethod
     def deregister(self, server_id: str, boot: int | None) -> None:
-        """Take that a server has ended; held by a majority on return."""
+        """Record that a server has ended; a majority holds this on return."""
 
     @abstractmethod
     def replace_document(self, content: bytes) -> None:
-        """Put a routing document in force unless a higher version is; held on return."""
+        """Put a routing document in force unless a version as high is; held on return."""
 
     @abstractmethod
     def read_document(self) -> bytes | None:
-        """Return the document in force, which a majority confirmed, or None before the first."""
+        """Return the document in force, confirmed by a majority, or None before the first."""
 
 
 class Edge(ABC):
--- a/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
@@ -37,12 +37,12 @@
 
 
 class FollowedView(ConfigurationClient):
-    """The configuration as the followed keeper tells it; nothing is pulled from peers."""
+    """The configuration as received from the followed keeper; nothing is pulled from peers."""
 
     follower: KeeperFollower | None = None
 
     def is_current(self) -> bool:
-        """Tell whether no later revision can have been in force for long."""
+        """Return whether no later revision can have been in force for too long."""
         return self.follower is not None and self.follower.is_current()
 
     def find_freshness(self) -> Freshness | None:
@@ -84,9 +84,9 @@
         )
         self.plane = DataPlane(settings, parts, observer, clock, random, edge.dialect)
         self.plane.forwarder.publish_with(self.follower.report)
-        self.follower.take_notice = self._take_notice
+        self.follower.on_notice = self._apply_notice
         self.follower.lease.list_loads = self._list_loads
-        self.follower.take_loads = self._take_loads
+        self.follower.on_loads = self._apply_loads
 
     def _list_loads(self) -> dict[ServerId, int]:
         loads: dict[ServerId, int] = {}
@@ -94,16 +94,16 @@
             loads.update(live.traffic.list_in_progress())
         return loads
 
-    def _take_loads(self, loads: Mapping[ServerId, int]) -> None:
+    def _apply_loads(self, loads: Mapping[ServerId, int]) -> None:
         for live in self.plane.services:
             live.traffic.apply_loads(loads)
 
     def reload(self, settings: Settings) -> None:
-        """Take changed settings."""
+        """Apply reloaded settings; of them only the seeds are used."""
         self.follower.replace_seeds(settings.seed_peers)
 
-    def _take_notice(self, notice: Notice) -> None:
-        """Apply what another entry saw; a service without requests here yet needs no warning."""
+    def _apply_notice(self, notice: Notice) -> None:
+        """Apply another entry's notice; a service without requests here yet doesn't need it."""
         live = self.plane.services.get(notice.service)
         if live is None:
             return
@@ -112,7 +112,7 @@
             log_notice(notice, live, self._lines, now, seen="elsewhere")
 
     def run(self, stop: StopSignal) -> bool:
-        """Serve until the stop signal, then stop gracefully; tell whether nothing was cut off."""
+        """Serve until the stop signal, then stop gracefully; return whether nothing was cut off."""
         settings = self._settings
         listen = settings.listen
         application = self.plane.application
@@ -123,7 +123,7 @@
         )
         with ExitStack() as stack:
             if listen.peers:
-                service = PeerNoticeService(self._take_notice)
+                service = PeerNoticeService(self._apply_notice)
                 peers = GrpcListener(listen.peers, [service], {settings.peer_token: "peer"})
                 peers.start()
                 stack.callback(peers.stop)
@@ -142,7 +142,7 @@
 
 
 def narrow_limits(own: ListenerLimits, document: CallerLimits) -> ListenerLimits:
-    """Return the listener's limits with those of the document, where these are stricter."""
+    """Return the stricter of the listener's and the document's limits, each by itself."""
     return replace(
         own,
         idle_seconds=min(own.idle_seconds, document.idle_seconds),
--- a/packages/node/src/persimmonusher_node/tiers/entry_ports.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_ports.py
@@ -23,7 +23,7 @@
 
 logger = structlog.get_logger(__name__)
 
-STATES: Final = {
+SERVER_STATES: Final = {
     RegisteredState.STARTING: ServerState.STARTING,
     RegisteredState.READY: ServerState.READY,
     RegisteredState.DRAINING: ServerState.DRAINING,
@@ -32,13 +32,13 @@
 
 
 class RegisteredDirectory(ServerDirectory):
-    """The servers that registered with the keepers, as the followed keeper tells them."""
+    """The servers that registered with the keepers, as received from the followed keeper."""
 
     def __init__(self, view: ConfigurationClient) -> None:
         self._view = view
 
     def announce(self, server: BackendServer) -> bool:
-        """Take note of what a server's answer said; only keepers take registrations."""
+        """Log the state that a server's answer reported; only keepers accept registrations."""
         logger.info("server-said", server=server.server_id, state=server.state.value)
         return False
 
@@ -61,19 +61,19 @@
         0,
         server.boot,
         server.sequence,
-        STATES[server.state],
+        SERVER_STATES[server.state],
     )
 
 
 class FollowedMembership(Membership):
-    """The own instance alone, with the number of entries that the keepers count."""
+    """Lists only this instance, but counts entries as the keepers do."""
 
     def __init__(self, own: Instance, follower: KeeperFollower) -> None:
         self._own = own
         self._follower = follower
 
     def list_live(self) -> Sequence[Instance]:
-        """List this instance, the only one that it knows by name."""
+        """List this instance: an entry doesn't learn the names of the others."""
         return (self._own,)
 
     def count_entries(self) -> int:
@@ -82,12 +82,15 @@
 
 
 class NoClaims(KeyClaims):
-    """Refuses keyed requests as not run: claims need registers on peers that know each other."""
+    """Refuses all claims, so that keyed requests aren't run.
+
+    Claims need registers on peers that know each other, and entries that follow a keeper don't.
+    """
 
     def claim(
         self, key: ClaimKey, fingerprint: str, window_seconds: float, pending_seconds: float
     ) -> ClaimResult:
-        """Grant nothing."""
+        """Return NO_QUORUM for every claim."""
         return ClaimResult(ClaimStatus.NO_QUORUM)
 
     def finish(self, key: ClaimKey, answer: StoredAnswer) -> None:
--- a/packages/node/src/persimmonusher_node/tiers/follow_feed.py
+++ b/packages/node/src/persimmonusher_node/tiers/follow_feed.py
@@ -1,4 +1,4 @@
-"""The messages that the followers of one keeper share."""
+"""The messages that a keeper builds once and sends to all its followers."""
 
 from collections.abc import Iterable, Sequence
 from math import ceil
@@ -14,15 +14,16 @@
 from persimmonusher_node.tiers.packed_parts import pack_part
 from persimmonusher_protocol import control_pb2
 
-SHARED_SECONDS: Final = 0.1
-"""How old a status may be that is sent to a further follower: far below the time after which a
-follower holds a keeper for stale."""
-REVISIONS_KEPT: Final = 64
-"""Revisions of followers for which what they lack is kept: nearly all hold the last one or none."""
+STATUS_MAX_AGE_SECONDS: Final = 0.1
+"""Age up to which a status is sent to further followers: far below the time after which a follower
+considers a keeper stale."""
+MAX_CACHED_REVISIONS: Final = 64
+"""Starting revisions whose updates are cached: nearly all followers hold the last revision or
+none."""
 
 
 class FollowFeed:
-    """Makes each message once for all followers that are to hear the same."""
+    """Builds each message once for all followers that receive the same content."""
 
     def __init__(
         self,
@@ -38,18 +39,18 @@
         self._loads = loads
         self._clock = clock
         self.places_version = 0
-        """Rises when the keepers or the peers change."""
+        """Rises whenever the keepers or the peers change."""
         self._places: tuple[tuple[str, str], ...] = ()
         self._peers: tuple[str, ...] = ()
         self._statuses: dict[str, control_pb2.FollowUpdate] = {}
-        """The latest, by the failure domain that it is for."""
+        """The latest status for each failure domain; the empty name stands for all servers."""
         self._statuses_at = float("-inf")
         self._parts: dict[Revision, tuple[control_pb2.FollowUpdate, ...]] = {}
-        """Updates to the revision below, by the one that they begin at."""
+        """Updates that lead to `_parts_revision`, by the revision that they begin at."""
         self._parts_revision = Revision(0)
 
     def replace_peers(self, addresses: Iterable[str]) -> None:
-        """Take who follows; keepers that came or went since are told along with it."""
+        """Set the followers' addresses, and include the keepers that joined or left since."""
         peers, places = tuple(sorted(addresses)), self._list_places()
         if (peers, places) != (self._peers, self._places):
             self._peers, self._places = peers, places
@@ -60,20 +61,20 @@
         return control_pb2.FollowUpdate(keepers=self.list_keepers(), peers=self._peers)
 
     def list_keepers(self) -> list[control_pb2.KeeperPlace]:
-        """Return the keepers as they are now."""
+        """Return the keepers that the log names at present."""
         return [
             control_pb2.KeeperPlace(address=address, failure_domain=domain)
             for address, domain in self._list_places()
         ]
 
     def make_status(self, failure_domain: str = "") -> control_pb2.FollowUpdate:
-        """Return how fresh this keeper is, the size of the fleet, and what is in progress.
+        """Return this keeper's freshness, the number of entries, and the requests in progress.
 
-        A follower of another failure domain is told of the servers there only. It sends most of its
-        work to them, and bytes between domains are dear.
+        A follower in another failure domain gets the loads of the servers there only: it sends them
+        most of its requests, and traffic between domains is expensive.
         """
         now = self._clock.monotonic()
-        if now - self._statuses_at > SHARED_SECONDS:
+        if now - self._statuses_at > STATUS_MAX_AGE_SECONDS:
             self._statuses, self._statuses_at = {}, now
         domain = "" if failure_domain == self._failure_domain else failure_domain
         if domain not in self._statuses:
@@ -81,24 +82,24 @@
         return self._statuses[domain]
 
     def make_parts(self, since: Revision) -> Sequence[control_pb2.FollowUpdate]:
-        """Return what a follower lacks from a revision to this keeper's.
+        """Return the updates from a follower's revision to this keeper's.
 
-        The load it is for: all entries start again at once, and each lacks everything. The harm:
-        encoding thousands of servers for one after the other, the keeper serves the last of them
-        seconds after the first. So a batch is kept until the next change; only its last update is
-        made anew, as it also tells how fresh this keeper is.
+        All entries may restart at once, each without any configuration. If the keeper encoded
+        thousands of servers for each follower in turn, the last one would get them seconds after
+        the first. So the updates are cached until the next change; only the last one is copied for
+        each call, as it also carries this keeper's freshness.
         """
         revision = self._view.revision()
-        if revision != self._parts_revision or len(self._parts) > REVISIONS_KEPT:
+        if revision != self._parts_revision or len(self._parts) > MAX_CACHED_REVISIONS:
             self._parts, self._parts_revision = {}, revision
         if since not in self._parts:
             batch = self._view.collect_since(since)
             self._parts[since] = tuple(map(pack_part, encode_parts(batch)))
         *first, last = self._parts[since]
-        fresh = control_pb2.FollowUpdate()
-        fresh.CopyFrom(last)
-        self._add_freshness(fresh, self._clock.monotonic())
-        return (*first, fresh)
+        fresh_last = control_pb2.FollowUpdate()
+        fresh_last.CopyFrom(last)
+        self._add_freshness(fresh_last, self._clock.monotonic())
+        return (*first, fresh_last)
 
     def _describe(self, domain: str, now: float) -> control_pb2.FollowUpdate:
         sums = self._loads.find_sums(now)
@@ -113,7 +114,7 @@
         return update
 
     def make_standing(self) -> control_pb2.Standing:
-        """Return how fresh this keeper is, and what it holds."""
+        """Return this keeper's freshness and revision."""
         age_ms = self._find_age_ms(self._clock.monotonic())
         return control_pb2.Standing(majority_age_ms=age_ms, revision=self._view.revision())
 
--- a/packages/node/src/persimmonusher_node/tiers/follow_lease.py
+++ b/packages/node/src/persimmonusher_node/tiers/follow_lease.py
@@ -1,6 +1,6 @@
-"""An entry's questions to the keeper that it follows: how fresh what it holds is.
+"""An entry's lease on its configuration, renewed by asking the followed keeper how fresh it is.
 
-Each question also tells the keeper what the entry has in progress, which it sums up for all.
+Each call also reports the entry's requests in progress, which the keeper sums up for all entries.
 """
 
 import asyncio
@@ -24,17 +24,17 @@
 
 logger = structlog.get_logger(__name__)
 
-ASK_SECONDS: Final = 0.4
-"""Time between questions: about the work of one request."""
-ANSWER_SECONDS: Final = 1.0
-"""Longest wait for an answer: a later one would be too old to be of use."""
-LATE_SHARE: Final = 0.8
+ASK_INTERVAL_SECONDS: Final = 0.4
+"""Mean time between calls: about the time that one request takes."""
+ANSWER_TIMEOUT_SECONDS: Final = 1.0
+"""Longest wait for an answer: a later one would be too old to be useful."""
+LATE_FRACTION: Final = 0.8
 """Part of `stale_seconds` beyond which the configuration is late: above the age without faults,
-which is two heartbeats of the keepers and the time between two questions."""
+which is two heartbeats of the keepers and the time between two calls."""
 
 
 class FollowLease:
-    """How fresh the configuration is here, by the keeper that is asked."""
+    """Bounds the age of this entry's configuration by the answers of the followed keeper."""
 
     def __init__(
         self,
@@ -50,38 +50,38 @@
         self._clock = clock
         self._random = random
         self._lease = FreshnessLease()
-        self._told_by = ""
-        self._told_age = 0.0
+        self._answered_by = ""
+        self._keeper_age = 0.0
         self.list_loads: Callable[[], Mapping[ServerId, int]] = dict
-        """Returns this entry's requests in progress by server."""
+        """Returns this entry's requests in progress by server; set by the daemon."""
 
     def hold(self, revision: Revision) -> None:
-        """Take that all up to a revision is in force here."""
+        """Record that every change up to a revision is in force here."""
         self._lease.hold(revision)
 
     def is_current(self) -> bool:
-        """Tell whether no change can be in force elsewhere for longer than is allowed."""
+        """Return whether no missing change can be in force elsewhere for over `stale_seconds`."""
         return self._find_age() <= self._settings.stale_seconds
 
     def is_late(self) -> bool:
-        """Tell whether too little is left of the time in which a change is to be in force."""
-        return self._find_age() > self._settings.stale_seconds * LATE_SHARE
+        """Return whether too little is left of the time in which a change is to be in force."""
+        return self._find_age() > self._settings.stale_seconds * LATE_FRACTION
 
     def find_freshness(self) -> Freshness:
-        """Return how stale the configuration may be, and which keeper said so."""
-        return Freshness(self._find_age(), self._told_by, self._told_age, self.is_late())
+        """Return how stale the configuration may be, and which keeper answered last."""
+        return Freshness(self._find_age(), self._answered_by, self._keeper_age, self.is_late())
 
     async def renew(self, place: KeeperPlace) -> None:
-        """Ask a keeper again and again, until cancelled."""
+        """Ask a keeper for its freshness at intervals, until cancelled."""
         while True:
             try:
                 await self._ask(place)
             except CALL_ERRORS as error:
                 logger.debug("keeper-silent", keeper=place.address, error=repr(error))
             except Exception:
-                # Without its questions the entry would never be current again.
+                # If this loop ended, the entry would never be current again.
                 logger.exception("asking-failed", keeper=place.address)
-            await asyncio.sleep(ASK_SECONDS * self._random.uniform(0.9, 1.1))
+            await asyncio.sleep(ASK_INTERVAL_SECONDS * self._random.uniform(0.9, 1.1))
 
     async def _ask(self, place: KeeperPlace) -> None:
         loads = self.list_loads()
@@ -91,11 +91,11 @@
         )
         stub = ControlStub(self._channels.get(place.address))
         asked_at = self._clock.monotonic()
-        standing = await stub.ReportLoad(report, timeout=ANSWER_SECONDS)
+        standing = await stub.ReportLoad(report, timeout=ANSWER_TIMEOUT_SECONDS)
         if not standing.HasField("majority_age_ms"):
             return
         age = standing.majority_age_ms / 1000.0
-        self._told_by, self._told_age = place.address, age
+        self._answered_by, self._keeper_age = place.address, age
         self._lease.grant(asked_at, age, Revision(standing.revision), self._view.revision())
 
     def _find_age(self) -> float:
--- a/packages/node/src/persimmonusher_node/tiers/follow_service.py
+++ b/packages/node/src/persimmonusher_node/tiers/follow_service.py
@@ -1,4 +1,4 @@
-"""Tells entries of changes as they are committed, and how fresh this keeper is."""
+"""Streams committed changes, notices and this keeper's freshness to entries."""
 
 import asyncio
 from collections.abc import Iterable, Iterator, Sequence
@@ -27,17 +27,18 @@
 
 logger = structlog.get_logger(__name__)
 
-UPDATE_SECONDS: Final = 0.5
-"""Longest time between two updates of one follower, by which it sees that this keeper lives."""
-PLACES_SECONDS: Final = 1.0
-"""Least time between two tellings of the keepers and peers, which change with each follower that
-comes or goes: when all start at once, each would hear of each."""
-NOTICE_BATCHES_KEPT: Final = 64
-"""For one entry that doesn't read; of more, the oldest go, which say the least."""
+STATUS_INTERVAL_SECONDS: Final = 0.5
+"""Longest time between two updates to a follower, which it takes as this keeper's heartbeat."""
+PLACES_INTERVAL_SECONDS: Final = 1.0
+"""Shortest time between two updates of the keepers and peers, which change with each follower that
+comes or goes: when all start at once, each would be sent an update for each of the others."""
+MAX_QUEUED_NOTICE_BATCHES: Final = 64
+"""Limit for a follower that doesn't read. Beyond it the oldest batches are dropped, as they are the
+least useful."""
 
 
 class Follower:
-    """One entry's stream: what wakes it, and what it is to be told."""
+    """The state of one entry's stream: its wake-up event and the updates that it is due."""
 
     def __init__(self, address: str, failure_domain: str) -> None:
         self.address = address
@@ -45,22 +46,22 @@
         self.wake = asyncio.Event()
         self.notices: list[control_pb2.FollowUpdate] = []
         self.status_due = True
-        self.places_told = -1
+        self.sent_places_version = -1
 
     def add_notices(self, update: control_pb2.FollowUpdate) -> None:
-        """Keep a batch of notices, which all followers share, until it can be sent."""
+        """Queue a batch of notices, which all followers share, and wake the stream."""
         self.notices.append(update)
-        del self.notices[:-NOTICE_BATCHES_KEPT]
+        del self.notices[:-MAX_QUEUED_NOTICE_BATCHES]
         self.wake.set()
 
-    def take_notices(self) -> list[control_pb2.FollowUpdate]:
-        """Return the batches that wait."""
+    def pop_notices(self) -> list[control_pb2.FollowUpdate]:
+        """Return the queued batches and empty the queue."""
         notices, self.notices = self.notices, []
         return notices
 
 
 class FollowService(ControlBase):
-    """Serves the committed records to entries."""
+    """Serves the calls of entries, and the notices that other keepers relay."""
 
     def __init__(
         self,
@@ -74,15 +75,15 @@
         self._view = view
         self._clock = clock
         self._followers: set[Follower] = set()
-        self._relay = NoticeRelay(role, channels, self._tell_followers, clock)
+        self._relay = NoticeRelay(role, channels, self._notify_followers, clock)
         self._loads = LoadBook()
         self._feed = FollowFeed(failure_domain, role, view, self._loads, clock)
         self._pace = FanoutPace()
-        self._news: list[control_pb2.Notice] = []
-        self._round: asyncio.TimerHandle | None = None
-        self._places_at = float("-inf")
+        self._pending_notices: list[control_pb2.Notice] = []
+        self._round_timer: asyncio.TimerHandle | None = None
+        self._places_refreshed_at = float("-inf")
         self._ticker: asyncio.Task[None] | None = None
-        view.on_change(self._note_change)
+        view.on_change(self._on_change)
 
     async def Follow(  # noqa: N802
         self, stream: "Stream[control_pb2.FollowRequest, control_pb2.FollowUpdate]"
@@ -113,43 +114,43 @@
     async def Report(  # noqa: N802
         self, stream: "Stream[control_pb2.NoticeBatch, keeper_pb2.Ack]"
     ) -> None:
-        """Pass on what an entry, or another keeper, tells of failures."""
+        """Relay the notices of an entry or of another keeper."""
         batch = await stream.recv_message()
         assert batch is not None
         with refuse_as_unavailable():
-            self._relay.take(batch)
+            self._relay.relay(batch)
         await stream.send_message(keeper_pb2.Ack())
 
     async def ReportLoad(  # noqa: N802
         self, stream: "Stream[control_pb2.LoadReport, control_pb2.Standing]"
     ) -> None:
-        """Take what an entry has in progress, and tell it how fresh this keeper is."""
+        """Record an entry's requests in progress; answer with this keeper's freshness."""
         report = await stream.recv_message()
         assert report is not None
         loads = {load.server: load.in_progress for load in report.loads}
-        self._loads.take(report.instance, loads, self._clock.monotonic())
+        self._loads.record(report.instance, loads, self._clock.monotonic())
         with refuse_as_unavailable():
             standing = self._feed.make_standing()
         await stream.send_message(standing)
 
     async def _tick(self) -> None:
-        """Let all followers hear at the same moments, so that one message serves them all."""
+        """Send the status to all followers at the same times, so that they share one message."""
         while self._followers:
             self._refresh_places()
             for follower in self._followers:
                 follower.status_due = True
                 follower.wake.set()
-            await asyncio.sleep(UPDATE_SECONDS)
+            await asyncio.sleep(STATUS_INTERVAL_SECONDS)
 
     def _refresh_places(self) -> None:
         now = self._clock.monotonic()
-        if now - self._places_at < PLACES_SECONDS:
+        if now - self._places_refreshed_at < PLACES_INTERVAL_SECONDS:
             return
-        self._places_at = now
+        self._places_refreshed_at = now
         try:
             self._feed.replace_peers([f.address for f in self._followers if f.address])
         except UsherError as error:
-            # The followers hear of it too, as their streams end for the same reason.
+            # The followers learn of it too: their streams end for the same reason.
             logger.info("keepers-unknown", error=error.message)
 
     async def _send_updates(
@@ -169,43 +170,43 @@
             await follower.wake.wait()
 
     def _list_due(self, since: Revision, follower: Follower) -> Iterator[control_pb2.FollowUpdate]:
-        """Yield what a follower at a revision is to be told now.
+        """Yield the updates that are due to a follower at a revision.
 
-        Changes go before the status, which says that the follower knows all that this keeper does.
+        Changes go before the status, which says that the follower has all that this keeper has.
         """
         if self._view.revision() > since:
             yield from self._feed.make_parts(since)
-        if follower.places_told != self._feed.places_version:
-            follower.places_told = self._feed.places_version
+        if follower.sent_places_version != self._feed.places_version:
+            follower.sent_places_version = self._feed.places_version
             yield self._feed.make_places()
         if follower.status_due:
             follower.status_due = False
             yield self._feed.make_status(follower.failure_domain)
-        yield from follower.take_notices()
+        yield from follower.pop_notices()
 
-    def _note_change(self, revision: Revision, keys: Sequence[ObjectKey]) -> None:
-        self._plan_round()
+    def _on_change(self, revision: Revision, keys: Sequence[ObjectKey]) -> None:
+        self._schedule_round()
 
-    def _tell_followers(self, notices: Iterable[control_pb2.Notice]) -> None:
+    def _notify_followers(self, notices: Iterable[control_pb2.Notice]) -> None:
         if not self._followers:
             return
-        self._news.extend(notices)
-        self._plan_round()
+        self._pending_notices.extend(notices)
+        self._schedule_round()
 
-    def _plan_round(self) -> None:
-        if self._round is not None or not self._followers:
+    def _schedule_round(self) -> None:
+        if self._round_timer is not None or not self._followers:
             return
         now = self._clock.monotonic()
         due = self._pace.find_due(len(self._followers), now)
         loop = asyncio.get_event_loop()
-        self._round = loop.call_later(due - now, self._start_round)
+        self._round_timer = loop.call_later(due - now, self._run_round)
 
-    def _start_round(self) -> None:
-        """Tell all followers of notices and changes, in messages that they share."""
-        self._round = None
+    def _run_round(self) -> None:
+        """Wake all followers for changes and notices; the notices go in one shared message."""
+        self._round_timer = None
         self._pace.record_round(self._clock.monotonic())
-        news, self._news = self._news, []
-        update = control_pb2.FollowUpdate(notices=news) if news else None
+        pending, self._pending_notices = self._pending_notices, []
+        update = control_pb2.FollowUpdate(notices=pending) if pending else None
         for follower in self._followers:
             if update is not None:
                 follower.add_notices(update)
@@ -217,7 +218,7 @@
 
 @contextmanager
 def refuse_as_unavailable() -> Iterator[None]:
-    """Let the caller turn to another keeper while this one isn't ready."""
+    """Answer UNAVAILABLE while this keeper isn't ready, so that the caller tries another one."""
     try:
         yield
     except UsherError as error:
--- a/packages/node/src/persimmonusher_node/tiers/follower.py
+++ b/packages/node/src/persimmonusher_node/tiers/follower.py
@@ -1,4 +1,4 @@
-"""An entry's stream from one keeper: the configuration, backend servers, and the fleet's size."""
+"""An entry's stream from one keeper: configuration, backend servers, loads and notices."""
 
 import asyncio
 from collections import deque
@@ -32,49 +32,49 @@
 
 logger = structlog.get_logger(__name__)
 
-SILENCE_SECONDS: Final = 1.2
-"""A keeper that sends nothing for longer is taken as lost: two of its updates are missing, and half
-of the time in which a change is to be in force is left for the next one."""
-STALE_SHARE: Final = 0.6
-"""Part of `stale_seconds` for which a keeper may be out of touch with a majority before the entry
-turns to another one: a lost heartbeat is no reason yet."""
-GRACE_SHARE: Final = 0.25
-"""Part of `stale_seconds` during which a newly followed keeper isn't judged by the age here, which
-may still be due to the former keeper."""
-AVOID_SECONDS: Final = 5.0
-"""A keeper that was lost or stale is tried again only after the others for so long."""
+SILENCE_TIMEOUT_SECONDS: Final = 1.2
+"""A keeper that sends nothing for longer is considered lost: two of its updates are missing, and
+half of the time in which a change is to be in force is left for the next keeper."""
+STALE_FRACTION: Final = 0.6
+"""Part of `stale_seconds` for which a keeper may be without contact to a majority before the entry
+switches to another one: a single lost heartbeat is no reason to."""
+GRACE_FRACTION: Final = 0.25
+"""Part of `stale_seconds` during which a newly followed keeper isn't judged by the configuration's
+age at this entry, which may still be due to the previous keeper."""
+LOST_AVOID_SECONDS: Final = 5.0
+"""Time for which a lost keeper is tried only after all others."""
 STALE_AVOID_SECONDS: Final = 0.6
-"""The same for a keeper that was merely stale. A leader may be elected on its side at any moment,
-and this entry must hear of it within the time in which a change is to be in force: with five
-keepers, each is asked again about once in this time."""
-RETRY_SECONDS: Final = 0.1
-"""Mean pause before the next keeper is asked, so that keepers that all refuse are not flooded."""
-REPORT_SECONDS: Final = 0.5
-"""A notice that took longer to arrive has lost most of its worth."""
-REPORTS_KEPT: Final = 256
-"""Notices that wait for the call under way; of more, the oldest go."""
-HOME_SECONDS: Final = 5.0
-"""How long an entry follows a keeper elsewhere before it looks for a better one again."""
+"""The same for a keeper that was only stale. A leader may be elected on its side of a network cut
+at any time, and this entry must learn of it within the time in which a change is to be in force:
+with five keepers, each is asked again about once in this time."""
+RETRY_PAUSE_SECONDS: Final = 0.1
+"""Mean pause before the next keeper is asked, so that keepers aren't flooded when all refuse."""
+REPORT_TIMEOUT_SECONDS: Final = 0.5
+"""A notice that takes longer to arrive has lost most of its value."""
+MAX_QUEUED_NOTICES: Final = 256
+"""Notices queued while a call is in flight. Beyond this limit the oldest are dropped."""
+BETTER_KEEPER_CHECK_SECONDS: Final = 5.0
+"""Time for which an entry follows a keeper before it looks for a better one."""
 
 
 def ignore_notice(notice: Notice) -> None:
-    """Take no note, before there is a data plane."""
+    """Do nothing; the handler until there is a data plane."""
 
 
 def ignore_loads(loads: Mapping[ServerId, int]) -> None:
-    """Take no note, before there is a data plane."""
+    """Do nothing; the handler until there is a data plane."""
 
 
 class StaleKeeperError(Exception):
-    """The keeper has been out of touch with a majority for too long."""
+    """The keeper had no contact to a majority for too long, or its answers arrive too late."""
 
 
-class HomewardError(Exception):
-    """A better keeper is there to be followed, such as one in the own failure domain."""
+class BetterKeeperError(Exception):
+    """There is a better keeper to follow, such as one in the own failure domain."""
 
 
 class KeeperFollower(Component):
-    """Follows one keeper at a time, in the own failure domain where there is one."""
+    """Follows one keeper at a time, preferably one in the own failure domain."""
 
     def __init__(
         self,
@@ -91,56 +91,57 @@
         self._random = random
         self._places = tuple(KeeperPlace(seed) for seed in settings.seed_peers)
         self._knows_keepers = False
-        """Whether a keeper has told which keepers there are; before, only seeds are known."""
+        """Whether a keeper has listed the keepers; until then only seeds are known."""
         self._choice = KeeperChoice(settings.failure_domain, random)
         self.lease = FollowLease(settings, view, channels, clock, random)
         self._records: list[Record] = []
         self._task: asyncio.Task[None] | None = None
         self._place: KeeperPlace | None = None
-        """The keeper whose updates arrive; None while none does."""
+        """The keeper that sends updates; None while no keeper does."""
         self._peers = PeerNotices(settings.listen.peers, channels)
-        self._reports: deque[Notice] = deque(maxlen=REPORTS_KEPT)
+        self._reports: deque[Notice] = deque(maxlen=MAX_QUEUED_NOTICES)
         self._reporting: asyncio.Task[None] | None = None
-        self.take_notice: Callable[[Notice], None] = ignore_notice
-        """Is told of failures that other entries saw."""
-        self.take_loads: Callable[[Mapping[ServerId, int]], None] = ignore_loads
-        """Is told the requests in progress of all entries that follow the same keeper."""
+        self.on_notice: Callable[[Notice], None] = ignore_notice
+        """Is called with each notice of another entry."""
+        self.on_loads: Callable[[Mapping[ServerId, int]], None] = ignore_loads
+        """Is called with the requests in progress, by server, of all entries that follow the
+        keeper."""
         self.entries = 0
-        """Live entries of the fleet as the keepers count them, 0 before the first word."""
+        """Live entries of the fleet as the keepers count them, 0 before the first update."""
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow a keeper in the background."""
         self._task = start_coroutine(self._run())
 
     def stop(self) -> None:
-        """End the stream."""
+        """End the stream and the attempts to follow."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def report(self, notices: Sequence[Notice]) -> None:
-        """Tell the other entries of failures; waits for nothing.
+        """Send notices to the other entries, without waiting.
 
-        The followed keeper passes them on to all. Without one, the entries that followed the same
-        keeper are told directly.
+        The followed keeper relays them to all. While no keeper is followed, they go directly to
+        entries that followed the same keeper.
         """
         if self._place is None:
-            self._peers.tell(notices)
+            self._peers.send(notices)
             return
         self._reports.extend(notices)
         if self._reporting is None or self._reporting.done():
             self._reporting = start_coroutine(self._send_reports())
 
     def is_current(self) -> bool:
-        """Tell whether no change can be in force elsewhere for longer than is allowed."""
+        """Return whether no missing change can be in force elsewhere for over `stale_seconds`."""
         return self.lease.is_current()
 
     def find_freshness(self) -> Freshness:
-        """Return how stale the configuration may be, and which keeper said so."""
+        """Return how stale the configuration may be, and which keeper answered last."""
         return self.lease.find_freshness()
 
     def list_keepers(self) -> Sequence[str]:
-        """List the known keepers' addresses, the followed one and those nearby in front."""
+        """List the known keepers' addresses: the followed one, then those in the own domain."""
         followed = None if self._place is None else self._place.address
         domain = self._settings.failure_domain
 
@@ -150,7 +151,7 @@
         return [place.address for place in sorted(self._places, key=rank)]
 
     def replace_seeds(self, seeds: Sequence[str]) -> None:
-        """Take other seeds, from changed settings, beside the keepers that are known."""
+        """Add seeds from reloaded settings to the known keepers."""
         known = {place.address for place in self._places}
         new = tuple(KeeperPlace(seed) for seed in seeds if seed not in known)
         self._places = (*self._places, *new)
@@ -164,7 +165,7 @@
                 return
             try:
                 stub = ControlStub(self._channels.get(place.address))
-                await stub.Report(batch, timeout=REPORT_SECONDS)
+                await stub.Report(batch, timeout=REPORT_TIMEOUT_SECONDS)
             except CALL_ERRORS as error:
                 logger.debug("notices-not-sent", keeper=place.address, error=repr(error))
 
@@ -177,23 +178,23 @@
                 else:
                     await self._ask_keepers(place)
                     continue
-            except HomewardError:
+            except BetterKeeperError:
                 self._place = None
                 continue
             except StaleKeeperError as error:
-                self._note_lost(place, error, STALE_AVOID_SECONDS)
+                self._mark_lost(place, error, STALE_AVOID_SECONDS)
                 continue
             except CALL_ERRORS as error:
-                self._note_lost(place, error, AVOID_SECONDS)
+                self._mark_lost(place, error, LOST_AVOID_SECONDS)
                 if isinstance(error, TimeoutError):
                     self._channels.forget(place.address)
             except Exception:
-                # Without its stream the entry would work on with an old configuration for ever.
+                # If this loop ended, the entry would keep an old configuration for ever.
                 logger.exception("following-failed", keeper=place.address)
             self._place = None
             await self._pause()
 
-    def _note_lost(self, place: KeeperPlace, error: Exception, avoid_seconds: float) -> None:
+    def _mark_lost(self, place: KeeperPlace, error: Exception, avoid_seconds: float) -> None:
         logger.info(
             "keeper-lost",
             keeper=place.address,
@@ -205,20 +206,21 @@
         self._choice.avoid(place.address, self._clock.monotonic() + avoid_seconds)
 
     async def _pause(self) -> None:
-        await asyncio.sleep(RETRY_SECONDS * self._random.uniform(0.5, 1.5))
+        await asyncio.sleep(RETRY_PAUSE_SECONDS * self._random.uniform(0.5, 1.5))
 
     async def _ask_keepers(self, seed: KeeperPlace) -> None:
-        """Learn which keepers there are before one is followed.
+        """Ask a seed for the keepers, before one is followed.
 
-        A follower gets the whole configuration: fetched from a seed elsewhere, only to turn to a
-        keeper at home then, it would cross failure domains at each start of an entry.
+        A new follower is sent the whole configuration. If an entry followed a seed in another
+        failure domain first and then switched to a keeper in its own, the configuration would cross
+        domains at each start of an entry.
         """
         stub = ControlStub(self._channels.get(seed.address))
         request = control_pb2.KeeperListRequest()
-        told = await stub.ListKeepers(request, timeout=SILENCE_SECONDS)
-        if not told.keepers:
-            raise ConnectionError(f"{seed.address} names no keepers")
-        self._take_keepers(told.keepers)
+        reply = await stub.ListKeepers(request, timeout=SILENCE_TIMEOUT_SECONDS)
+        if not reply.keepers:
+            raise ConnectionError(f"{seed.address} listed no keepers")
+        self._replace_keepers(reply.keepers)
 
     async def _follow(self, place: KeeperPlace) -> None:
         stub = ControlStub(self._channels.get(place.address))
@@ -232,77 +234,81 @@
         renewal = start_coroutine(self.lease.renew(place))
         try:
             async with stub.Follow.open() as stream:
-                await asyncio.wait_for(stream.send_message(request, end=True), SILENCE_SECONDS)
-                await self._take_updates(place, stream)
+                await asyncio.wait_for(
+                    stream.send_message(request, end=True), SILENCE_TIMEOUT_SECONDS
+                )
+                await self._receive_updates(place, stream)
         finally:
             renewal.cancel()
 
-    async def _take_updates(
+    async def _receive_updates(
         self,
         place: KeeperPlace,
         stream: "Stream[control_pb2.FollowRequest, control_pb2.FollowUpdate]",
     ) -> None:
         followed = self._clock.monotonic()
         while True:
-            update = await asyncio.wait_for(stream.recv_message(), SILENCE_SECONDS)
+            update = await asyncio.wait_for(stream.recv_message(), SILENCE_TIMEOUT_SECONDS)
             if update is None:
                 raise ConnectionError(f"{place.address} ended the stream")
             try:
-                self._take(place, update)
+                self._apply_update(place, update)
                 self._check_lease(place, followed)
             except StaleKeeperError:
-                # Left only now, so that the keepers go on counting this entry: by their count the
-                # live entries share the retries of all.
+                # The stream stays open during the pause, so that the keepers go on counting this
+                # entry: the live entries share the retry budget by that count.
                 await self._pause()
                 raise
-            self._check_home(place, followed)
+            self._check_better_keeper(place, followed)
 
-    def _take(self, place: KeeperPlace, update: control_pb2.FollowUpdate) -> None:
+    def _apply_update(self, place: KeeperPlace, update: control_pb2.FollowUpdate) -> None:
         if self._place is None:
             logger.info("keeper-followed", keeper=place.address, revision=self._view.revision())
         self._place = place
         part = unpack_part(update)
         if part is not None:
-            self._take_part(part)
+            self._apply_part(part)
         if update.has_loads:
-            self.take_loads({ServerId(load.server): load.in_progress for load in update.loads})
+            self.on_loads({ServerId(load.server): load.in_progress for load in update.loads})
         for notice in update.notices:
-            self.take_notice(decode_notice(notice))
+            self.on_notice(decode_notice(notice))
         if update.keepers:
             self._peers.replace_peers(update.peers)
-            self._take_keepers(update.keepers)
+            self._replace_keepers(update.keepers)
         if update.HasField("majority_age_ms"):
             self.entries = update.entries
             self._check_age(place, update.majority_age_ms / 1000.0)
 
-    def _take_keepers(self, keepers: Iterable[control_pb2.KeeperPlace]) -> None:
+    def _replace_keepers(self, keepers: Iterable[control_pb2.KeeperPlace]) -> None:
         self._places = tuple(KeeperPlace(one.address, one.failure_domain) for one in keepers)
         self._knows_keepers = True
 
     def _check_age(self, place: KeeperPlace, age: float) -> None:
-        """Leave a keeper that says itself that it is out of touch."""
-        is_stale = age > self._settings.stale_seconds * STALE_SHARE
+        """Raise StaleKeeperError for a keeper that reports a stale majority contact."""
+        is_stale = age > self._settings.stale_seconds * STALE_FRACTION
         if is_stale and self._has_alternative(place, self._clock.monotonic()):
-            message = f"{place.address} heard of no majority for {age:.1f} s"
+            message = f"{place.address} had no contact to a majority for {age:.1f} s"
             raise StaleKeeperError(message)
 
     def _check_lease(self, place: KeeperPlace, followed: float) -> None:
-        """Leave a keeper whose word takes too long to arrive, whatever it says of itself."""
+        """Raise StaleKeeperError if what arrives from a keeper is old, whatever age it reports."""
         now = self._clock.monotonic()
-        if now - followed < self._settings.stale_seconds * GRACE_SHARE:
+        if now - followed < self._settings.stale_seconds * GRACE_FRACTION:
             return
         if self.lease.is_late() and self._has_alternative(place, now):
             age = self.find_freshness().age
-            raise StaleKeeperError(f"what {place.address} tells is {age:.1f} s old here")
+            raise StaleKeeperError(
+                f"the configuration from {place.address} is {age:.1f} s old here"
+            )
 
     def _has_alternative(self, place: KeeperPlace, now: float) -> bool:
-        """Tell whether another keeper was not found lost or stale lately."""
+        """Return whether there is another keeper that wasn't found lost or stale recently."""
         return any(
             other.address != place.address and not self._choice.is_avoided(other.address, now)
             for other in self._places
         )
 
-    def _take_part(self, part: keeper_pb2.PullPart) -> None:
+    def _apply_part(self, part: keeper_pb2.PullPart) -> None:
         self._records.extend(map(decode_record, part.records))
         if part.last:
             records, self._records = tuple(self._records), []
@@ -310,10 +316,10 @@
             self._view.take(Batch(part.lineage, since, revision, records, part.whole))
             self.lease.hold(self._view.revision())
 
-    def _check_home(self, place: KeeperPlace, followed: float) -> None:
-        """Turn to a better keeper, as the choice has it, once this one was followed for a while."""
+    def _check_better_keeper(self, place: KeeperPlace, followed: float) -> None:
+        """Raise BetterKeeperError if there is a better keeper, after a minimum time with this."""
         now = self._clock.monotonic()
-        if now - followed < HOME_SECONDS:
+        if now - followed < BETTER_KEEPER_CHECK_SECONDS:
             return
         if self._choice.find_better(place, self._places, now) is not None:
-            raise HomewardError
+            raise BetterKeeperError
--- a/packages/node/src/persimmonusher_node/tiers/keeper_control.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_control.py
@@ -1,4 +1,4 @@
-"""A keeper's side of the calls of backend servers and operators."""
+"""A keeper's handling of the calls of backend servers and operators."""
 
 from dataclasses import replace
 from secrets import token_hex
@@ -39,17 +39,17 @@
 
 logger = structlog.get_logger(__name__)
 
-REGISTER_SECONDS: Final = 0.8
-"""Servers take a heartbeat for lost after a second, and turn to another keeper."""
-DOCUMENT_SECONDS: Final = 2.0
-"""An operator turns to another keeper after a second or more, and sends the same again: two
-elections' time costs nothing, and an answer given up on here would."""
-READ_SECONDS: Final = 0.8
-"""An operator that reads turns to another keeper after a second."""
+REGISTER_TIMEOUT_SECONDS: Final = 0.8
+"""Servers consider a heartbeat lost after a second, and then try another keeper."""
+DOCUMENT_TIMEOUT_SECONDS: Final = 2.0
+"""An operator tries another keeper after a second or more, and sends the same document again:
+waiting for as long as two elections costs nothing, but an answer that is abandoned here would."""
+READ_TIMEOUT_SECONDS: Final = 0.8
+"""An operator that reads tries another keeper after a second."""
 
 
 class KeeperControl(ControlPort):
-    """Registrations and the routing document, by way of the log."""
+    """Registrations and the routing document, stored in the keepers' log."""
 
     def __init__(
         self,
@@ -66,33 +66,33 @@
         self._codec = codec
 
     def register(self, registration: Registration) -> Heartbeat:
-        """Take what a server says of itself; only what changes goes through the log.
+        """Accept a server's registration; only a change goes through the log.
 
-        Guards against a word from elsewhere that names a service which nobody routes to: it could
-        take the address of a server at work. A service that is added later is taken then, with the
-        next heartbeat.
+        Guards against a registration from elsewhere that names a service without a route: it could
+        take over the address of a working server. If the service is added later, the server's next
+        heartbeat is accepted.
         """
         if not self._view.may_know(ServiceName(registration.service)):
             message = f"{registration.server_id}: there is no service {registration.service!r}"
             raise UsherError(ErrorCode.NOT_FOUND, message)
         known = self._find(registration.server_id)
-        is_same = known is not None and known.boot == registration.boot
-        if is_same and known is not None and known.describes_same(registration):
+        is_same_boot = known is not None and known.boot == registration.boot
+        if is_same_boot and known is not None and known.describes_same(registration):
             return self._make_heartbeat(registration)
         if supersedes(registration, known):
             self._propose_server(registration)
         return self._make_heartbeat(registration)
 
     def deregister(self, server_id: str, boot: int | None) -> None:
-        """Take that a server has ended.
+        """Record that a server has ended.
 
-        Guards against a late word of an earlier start: where it names a boot, it ends only that
-        one. A server that isn't known here may be known elsewhere, however fresh this keeper is,
-        so that its end is acknowledged only once nothing accepted before can be missing here.
+        Guards against a late message of an earlier start: if it names a boot, only that boot is
+        ended. A server that is unknown here may be known to other keepers, however fresh this
+        keeper is. So its end is acknowledged only once nothing accepted before can be missing here.
         """
         known = self._find(server_id)
         if known is None:
-            self._confirm_view(REGISTER_SECONDS)
+            self._confirm_view(REGISTER_TIMEOUT_SECONDS)
             known = self._find(server_id)
         if known is None:
             return
@@ -103,18 +103,18 @@
             self._propose_server(ended)
 
     def replace_document(self, content: bytes) -> None:
-        """Check a document, whatever its version, and put it in force unless a higher one is."""
+        """Check a document of any version, and put it in force unless one as high already is."""
         version = self._codec.parse(content).version
         live = self._view.find_record(DOCUMENT_KEY)
         if live is not None and read_version(live.body) >= version:
             logger.info("document-overtaken", version=version, in_force=read_version(live.body))
             return
-        self._propose(DOCUMENT_KEY, pack_document(version, content), DOCUMENT_SECONDS)
+        self._propose(DOCUMENT_KEY, pack_document(version, content), DOCUMENT_TIMEOUT_SECONDS)
         logger.info("document-accepted", version=version)
 
     def read_document(self) -> bytes | None:
         """Return the document in force, once a majority confirmed that none is newer."""
-        self._confirm_view(READ_SECONDS)
+        self._confirm_view(READ_TIMEOUT_SECONDS)
         live = self._view.find_record(DOCUMENT_KEY)
         return None if live is None or live.body is None else unpack_document(live.body).content
 
@@ -125,7 +125,7 @@
         return decode_registration(server_id, record.body)
 
     def _propose_server(self, server: Registration) -> None:
-        self._propose(server.key, encode_registration(server), REGISTER_SECONDS)
+        self._propose(server.key, encode_registration(server), REGISTER_TIMEOUT_SECONDS)
         logger.info(
             "server-registered",
             server=server.server_id,
@@ -150,7 +150,7 @@
             raise UsherError(ErrorCode.UNAVAILABLE, message)
 
     def _make_heartbeat(self, registration: Registration) -> Heartbeat:
-        """Name a keeper in the server's domain, so that heartbeats don't cross domains."""
+        """Name a keeper in the server's failure domain, so that heartbeats don't cross domains."""
         domain = registration.failure_domain
         if domain == self._settings.failure_domain:
             return Heartbeat(None)
--- a/packages/node/src/persimmonusher_node/tiers/keeper_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_daemon.py
@@ -26,7 +26,7 @@
 from persimmonusher_node.shutdown import StopSignal
 from persimmonusher_node.tiers.edge import Edge
 from persimmonusher_node.tiers.follow_service import FollowService
-from persimmonusher_node.tiers.keeper_control import REGISTER_SECONDS, KeeperControl
+from persimmonusher_node.tiers.keeper_control import REGISTER_TIMEOUT_SECONDS, KeeperControl
 from persimmonusher_node.tiers.keeper_metrics import (
     KeeperGauges,
     KeeperMetrics,
@@ -35,9 +35,9 @@
 from persimmonusher_node.tiers.quota_service import QuotaService
 
 TIMING: Final = LogTiming(heartbeat=0.4, election_timeout=1.2, first_election=0.3)
-"""Idle keepers send each other heartbeats only, and bytes between failure domains are dear: half as
-many as by default. Three of them fit into an election timeout, so that one lost message starts no
-election, and a new leader is there well within the seconds for which an operator waits."""
+"""Idle keepers send each other only heartbeats, half as many as by default because traffic between
+failure domains is expensive. Three of them fit into an election timeout, so that one lost message
+starts no election, and a new leader is elected well within the seconds that an operator waits."""
 
 _log = get_logger(__name__)
 
@@ -101,11 +101,11 @@
         )
 
     def reload(self, settings: Settings) -> None:
-        """Take changed settings."""
+        """Apply reloaded settings; of them only the seeds are used."""
         self.formation.replace_seeds(settings.seed_peers)
 
     def run(self, stop: StopSignal) -> bool:
-        """Serve until the stop signal; calls in progress are given time to end."""
+        """Serve until the stop signal, then give calls in progress time to end."""
         settings = self._settings
         listen = settings.listen
         with ExitStack() as stack:
@@ -119,6 +119,6 @@
             _log.info("started", role=settings.role.value, **listen.model_dump())
             stop.wait()
             _log.info("stopping")
-            eventlet.sleep(REGISTER_SECONDS)
+            eventlet.sleep(REGISTER_TIMEOUT_SECONDS)
         _log.info("stopped")
         return True
--- a/packages/node/src/persimmonusher_node/tiers/keeper_metrics.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_metrics.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class KeeperGauges:
-    """What is measured at the moment of a scrape, in the order of `GAUGES`."""
+    """The gauges' values at one scrape, in the order of `GAUGES`."""
 
     leads: int
     voters: int
@@ -38,7 +38,7 @@
 
 
 class KeeperMetrics(MetricsSource):
-    """Reads a keeper's gauges, and counts its calls."""
+    """Renders a keeper's gauges, and counts the scrapes while it has none."""
 
     def __init__(self, read_gauges: Callable[[], KeeperGauges | None]) -> None:
         self._read_gauges = read_gauges
--- a/packages/node/src/persimmonusher_node/tiers/keeper_quotas.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_quotas.py
@@ -1,8 +1,8 @@
-"""An entry's side of the organisations' quotas: asks keepers, and holds a token for what comes.
+"""An entry's side of the organisations' quotas: gets tokens from keepers, and holds some ahead.
 
-An organisation's requests mostly come over the same connections, so an entry that has had two will
-probably have another soon. With a token at hand it needn't wait for a keeper, and goes on where for
-some seconds no keeper answers.
+An organisation's requests mostly come over the same connections, so an entry that had two will
+probably get another soon. With a held token it doesn't wait for a keeper, and can grant a request
+even if no keeper answers for some seconds.
 """
 
 import asyncio
@@ -26,19 +26,19 @@
 
 logger = structlog.get_logger(__name__)
 
-TRY_SECONDS: Final = 0.3
+KEEPER_TIMEOUT_SECONDS: Final = 0.3
 """Longest wait for one keeper: longer than a loan between keepers takes."""
-ASK_SECONDS: Final = 0.7
-"""Longest wait for all keepers, after which the caller had better try another instance."""
-RETRY_SECONDS: Final = 0.05
+ASK_TIMEOUT_SECONDS: Final = 0.7
+"""Longest wait for all keepers together; after it the caller should try another instance."""
+RETRY_PAUSE_SECONDS: Final = 0.05
 """Pause before the keepers are asked again."""
-GIVEN_BACK_SECONDS: Final = 0.5
-"""Time in which a token may be used again whose request was not run. It wasn't asked for to be
-held, so that the keepers don't count it among those that are."""
+RETURNED_TOKEN_SECONDS: Final = 0.5
+"""Time for which the token of a request that was not run may be used again. The keepers granted it
+for immediate use, so that they don't count it among the held tokens."""
 
 
 class KeeperQuotas(Quotas):
-    """Counts requests by the keepers' grants."""
+    """Enforces quotas by the grants of the keepers."""
 
     def __init__(
         self,
@@ -49,18 +49,18 @@
     ) -> None:
         self._instance_id = instance_id
         self._list_keepers = list_keepers
-        """Returns the keepers' addresses, the one to ask first in front."""
+        """Returns the keepers' addresses in the order in which to ask them."""
         self._channels = channels
         self._clock = clock
         self._held: dict[CallerId, float] = {}
-        """When the token ends that is at hand for an organisation."""
+        """When the token that is held for an organisation expires."""
         self._asking: set[CallerId] = set()
-        """Organisations for which a token to hold is being asked for."""
-        self._seen: OrderedDict[CallerId, float] = OrderedDict()
-        """When each organisation's latest request came, the oldest first."""
+        """Organisations for which a call that asks for a token to hold is in flight."""
+        self._requested_at: OrderedDict[CallerId, float] = OrderedDict()
+        """Time of each organisation's latest request, the oldest first."""
 
     def take(self, organisation: Organisation) -> QuotaVerdict:
-        """Use the token at hand, or ask the keepers for one; waits for their answer."""
+        """Use the held token, or else ask the keepers for one and wait for the answer."""
         name = organisation.name
         expects_more = self._note_request(name) and name not in self._asking
         if self._clock.monotonic() < self._held.pop(name, -inf):
@@ -70,21 +70,22 @@
         return run_coroutine(self._ask(name, expects_more, ahead_only=False))
 
     def give_back(self, organisation: Organisation) -> None:
-        """Keep a token for the next request, where none is kept."""
-        ends = self._clock.monotonic() + GIVEN_BACK_SECONDS
+        """Keep the token of a request that was not run for the next one, unless one is held."""
+        ends = self._clock.monotonic() + RETURNED_TOKEN_SECONDS
         self._held.setdefault(organisation.name, ends)
 
     def _note_request(self, name: CallerId) -> bool:
-        """Tell whether another request of the organisation came before a token would be void.
+        """Return whether the organisation's previous request came within a token's lifetime.
 
-        Organisations whose tokens are void are forgotten, so that memory follows the traffic.
+        Organisations without a request for that long are forgotten, so that memory use follows the
+        traffic.
         """
         now = self._clock.monotonic()
-        former = self._seen.pop(name, None)
-        self._seen[name] = now
-        while next(iter(self._seen.values())) < now - HELD_SECONDS:
-            forgotten, _ = self._seen.popitem(last=False)
-            self._held.pop(forgotten, None)
+        former = self._requested_at.pop(name, None)
+        self._requested_at[name] = now
+        while next(iter(self._requested_at.values())) < now - HELD_SECONDS:
+            expired, _ = self._requested_at.popitem(last=False)
+            self._held.pop(expired, None)
         return former is not None and now - former < HELD_SECONDS
 
     async def _ask(self, name: CallerId, wants_ahead: bool, ahead_only: bool) -> QuotaVerdict:
@@ -102,18 +103,18 @@
                 self._asking.discard(name)
 
     async def _ask_keepers(self, name: CallerId, request: pb.QuotaRequest) -> QuotaVerdict:
-        until = self._clock.monotonic() + ASK_SECONDS
+        until = self._clock.monotonic() + ASK_TIMEOUT_SECONDS
         while self._clock.monotonic() < until:
             for address in self._list_keepers():
                 asked = self._clock.monotonic()
                 left = max(0.0, until - asked)
-                reply = await self._ask_keeper(address, request, min(TRY_SECONDS, left))
+                reply = await self._ask_keeper(address, request, min(KEEPER_TIMEOUT_SECONDS, left))
                 if reply is None:
                     continue
                 if reply.ahead:
                     self._held[name] = asked + HELD_SECONDS
                 return QuotaVerdict.GRANTED if reply.granted else QuotaVerdict.EXCEEDED
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
         return QuotaVerdict.UNKNOWN
 
     async def _ask_keeper(
--- a/packages/node/src/persimmonusher_node/tiers/leader.py
+++ b/packages/node/src/persimmonusher_node/tiers/leader.py
@@ -1,4 +1,4 @@
-"""Calls to the keeper that leads, from any keeper."""
+"""Calls from any keeper to the leader."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,15 +17,15 @@
 
 T = TypeVar("T")
 
-RETRY_SECONDS: Final = 0.05
-"""Pause before the leader is looked for again: a fraction of an election."""
-TRY_SECONDS: Final = 1.0
-"""One try; a leader that was just frozen or cut off must not take the whole time."""
-TRANSIENT: Final = frozenset({ErrorCode.NOT_LEADER, ErrorCode.UNAVAILABLE})
+RETRY_PAUSE_SECONDS: Final = 0.05
+"""Pause before the leader is looked up again: a fraction of an election's time."""
+TRY_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout of one try; a leader that was just frozen or cut off must not use up the whole time."""
+RETRIED_CODES: Final = frozenset({ErrorCode.NOT_LEADER, ErrorCode.UNAVAILABLE})
 
 
 class LeaderCalls:
-    """Has changes decided and reads confirmed; every call may be made again without harm."""
+    """Proposes changes and confirms reads at the leader; every call is safe to repeat."""
 
     def __init__(self, role: KeeperRole, channels: ChannelPool, clock: Clock) -> None:
         self._role = role
@@ -63,7 +63,7 @@
         deadline = self._clock.monotonic() + timeout
         failure = "no leader is known"
         while (left := deadline - self._clock.monotonic()) > 0:
-            left = min(left, TRY_SECONDS)
+            left = min(left, TRY_TIMEOUT_SECONDS)
             try:
                 status = self._role.keeper.describe()
                 if self._role.keeper.replica.is_leader:
@@ -71,11 +71,11 @@
                 if status.leader_address:
                     return await ask(KeeperStub(self._channels.get(status.leader_address)), left)
             except UsherError as error:
-                if error.code not in TRANSIENT:
+                if error.code not in RETRIED_CODES:
                     raise
                 failure = error.message
             except CALL_ERRORS as error:
                 failure = str(error) or type(error).__name__
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
         message = f"no leader of the keepers decided within {timeout} s: {failure}"
         raise UsherError(ErrorCode.NO_QUORUM, message)
--- a/packages/node/src/persimmonusher_node/tiers/load_book.py
+++ b/packages/node/src/persimmonusher_node/tiers/load_book.py
@@ -1,11 +1,11 @@
-"""What the entries that follow one keeper have in progress, by backend server."""
+"""Requests in progress at the entries that follow one keeper, by backend server."""
 
 from collections import Counter
 from collections.abc import Mapping
 from typing import Final
 
-FORGET_SECONDS: Final = 1.5
-"""A report counts for so long: three of the entries' periods."""
+REPORT_EXPIRY_SECONDS: Final = 1.5
+"""Time for which a report counts: more than three of the entries' reporting intervals."""
 
 
 class LoadBook:
@@ -14,16 +14,16 @@
     def __init__(self) -> None:
         self._reports: dict[str, tuple[float, Mapping[str, int]]] = {}
 
-    def take(self, instance: str, loads: Mapping[str, int], now: float) -> None:
-        """Take an entry's report in place of its former one."""
+    def record(self, instance: str, loads: Mapping[str, int], now: float) -> None:
+        """Replace an entry's report, a mapping from servers to requests in progress."""
         self._reports[instance] = (now, loads)
 
     def find_sums(self, now: float) -> Counter[str] | None:
-        """Return requests in progress by server; None where no entry has reported lately."""
+        """Return requests in progress by server; None if no report is recent enough."""
         self._reports = {
             name: report
             for name, report in self._reports.items()
-            if now - report[0] <= FORGET_SECONDS
+            if now - report[0] <= REPORT_EXPIRY_SECONDS
         }
         if not self._reports:
             return None
--- a/packages/node/src/persimmonusher_node/tiers/notice_relay.py
+++ b/packages/node/src/persimmonusher_node/tiers/notice_relay.py
@@ -1,4 +1,4 @@
-"""Passes entries' notices on: to the followers of this keeper, and once to each other keeper."""
+"""Relays entries' notices to the followers of this keeper, and once to each other keeper."""
 
 import asyncio
 from collections import deque
@@ -18,25 +18,28 @@
 
 logger = structlog.get_logger(__name__)
 
-SEND_SECONDS: Final = 0.5
-"""A notice that took longer to arrive has lost most of its worth."""
-REPEAT_SECONDS: Final = 1.0
-"""Notices of the same failing server within this time are told once: a fraction of the time for
-which it is passed by."""
-NOTICES_TOLD: Final = {pb.EARLY: 1, pb.LATE: 2, pb.UNREACHED: 3, pb.NONE: 2}
-"""Notices of one server that are told within that time: the last of them decides."""
-TOLD_KEPT: Final = 4_096
-"""Servers remembered as told; with more, all are told anew."""
-CALLS_A_SECOND: Final = 10.0
-"""Calls to one keeper, on average: what comes meanwhile goes along with the next."""
-CALLS_AT_ONCE: Final = 4
-"""Calls that need not wait after a quiet moment, about those of one server's onset."""
-WAITING: Final = 256
-"""Notices kept for one keeper while a call to it is under way; of more, the oldest go."""
-
-
-class Told:
-    """How often the same was told since a moment."""
+SEND_TIMEOUT_SECONDS: Final = 0.5
+"""A notice that takes longer to arrive has lost most of its value."""
+REPEAT_WINDOW_SECONDS: Final = 1.0
+"""Notices of the same server within this time count as repetitions: a fraction of the time for
+which entries avoid a failing server."""
+MAX_RELAYED: Final = {pb.EARLY: 1, pb.LATE: 2, pb.UNREACHED: 3, pb.NONE: 2}
+"""Notices of one kind and server that are relayed within that time, 1 for other kinds: entries may
+act only on the last of them."""
+MAX_REMEMBERED_NOTICES: Final = 4_096
+"""Limit of the remembered notices. Beyond it all are forgotten, so that repetitions are relayed."""
+CALLS_PER_SECOND: Final = 10.0
+"""Calls to one keeper, on average; notices that arrive between two calls go with the next."""
+CALL_BURST: Final = 4
+"""Calls that start without a wait after an idle time: about those of one server's first
+failures."""
+MAX_QUEUED_NOTICES: Final = 256
+"""Notices queued for one keeper while a call to it is in flight. Beyond this limit the oldest are
+dropped."""
+
+
+class NoticeCount:
+    """How often the same notice arrived since a time, and the rate limit that it named."""
 
     __slots__ = ("limit", "since", "times")
 
@@ -47,77 +50,81 @@
 
 
 class NoticeRelay:
-    """One call at a time to each keeper; what comes meanwhile goes along with the next."""
+    """Makes one call at a time to each keeper; notices that arrive meanwhile go with the next."""
 
     def __init__(
         self,
         role: KeeperRole,
         channels: ChannelPool,
-        tell_followers: Callable[[Iterable[pb.Notice]], None],
+        notify_followers: Callable[[Iterable[pb.Notice]], None],
         clock: Clock,
     ) -> None:
         self._role = role
         self._channels = channels
-        self._tell_followers = tell_followers
+        self._notify_followers = notify_followers
         self._clock = clock
-        self._told: dict[tuple[str, str, int], Told] = {}
-        self._waiting: dict[str, deque[pb.Notice]] = {}
+        self._counts: dict[tuple[str, str, int], NoticeCount] = {}
+        self._queued: dict[str, deque[pb.Notice]] = {}
         self._paces: dict[str, CallPace] = {}
-        self._busy: dict[str, asyncio.Task[None]] = {}
+        self._senders: dict[str, asyncio.Task[None]] = {}
 
-    def take(self, batch: pb.NoticeBatch) -> None:
-        """Pass a batch on; one from another keeper goes to the followers only."""
-        news = [notice for notice in batch.notices if self._is_news(notice)]
-        if not news:
+    def relay(self, batch: pb.NoticeBatch) -> None:
+        """Relay a batch; one that another keeper relayed goes to the followers only."""
+        new_notices = [notice for notice in batch.notices if self._count_as_new(notice)]
+        if not new_notices:
             return
-        self._tell_followers(news)
+        self._notify_followers(new_notices)
         if batch.relayed:
             return
         for member in self._role.keeper.replica.log.members.members:
             if member.keeper != self._role.identity:
-                self._queue(member.address, news)
+                self._queue(member.address, new_notices)
 
-    def _is_news(self, notice: pb.Notice) -> bool:
-        """Tell whether this was not told within the last moment.
+    def _count_as_new(self, notice: pb.Notice) -> bool:
+        """Return whether a notice is no repetition, and count it.
 
-        A server that fails all its work is told of by every entry that has a request there; each
-        further notice only renews what the first has brought about everywhere.
+        Every entry with a request at a server that fails all requests reports it. Each further
+        notice would only renew the effect that the first one had at all entries.
         """
         now = self._clock.monotonic()
         if notice.failure == pb.NONE:
-            # Everyone uses the server again, so that its next failure is news.
+            # All entries use the server again, so that its next failure must be relayed.
             for failure in (pb.EARLY, pb.LATE, pb.UNREACHED):
-                self._told.pop((notice.server, "", failure), None)
+                self._counts.pop((notice.server, "", failure), None)
         elif notice.failure != pb.LIMITED:
-            self._told.pop((notice.server, "", pb.NONE), None)
-        what = (notice.server, notice.crashed_by, notice.failure)
+            self._counts.pop((notice.server, "", pb.NONE), None)
+        key = (notice.server, notice.crashed_by, notice.failure)
         limit = notice.rate_limit if notice.HasField("rate_limit") else None
-        told = self._told.get(what)
-        if told is not None and told.limit == limit and now - told.since < REPEAT_SECONDS:
-            told.times += 1
-            return told.times <= NOTICES_TOLD.get(notice.failure, 1)
-        if len(self._told) >= TOLD_KEPT:
-            self._told.clear()
-        self._told[what] = Told(now, limit)
+        earlier = self._counts.get(key)
+        if (
+            earlier is not None
+            and earlier.limit == limit
+            and now - earlier.since < REPEAT_WINDOW_SECONDS
+        ):
+            earlier.times += 1
+            return earlier.times <= MAX_RELAYED.get(notice.failure, 1)
+        if len(self._counts) >= MAX_REMEMBERED_NOTICES:
+            self._counts.clear()
+        self._counts[key] = NoticeCount(now, limit)
         return True
 
     def _queue(self, address: str, notices: Iterable[pb.Notice]) -> None:
-        self._waiting.setdefault(address, deque(maxlen=WAITING)).extend(notices)
-        if address not in self._busy:
-            self._busy[address] = start_coroutine(self._send(address))
+        self._queued.setdefault(address, deque(maxlen=MAX_QUEUED_NOTICES)).extend(notices)
+        if address not in self._senders:
+            self._senders[address] = start_coroutine(self._send(address))
 
     async def _send(self, address: str) -> None:
-        waiting = self._waiting[address]
-        pace = self._paces.setdefault(address, CallPace(CALLS_A_SECOND, CALLS_AT_ONCE))
+        queued = self._queued[address]
+        pace = self._paces.setdefault(address, CallPace(CALLS_PER_SECOND, CALL_BURST))
         try:
-            while waiting:
+            while queued:
                 await asyncio.sleep(pace.take(self._clock.monotonic()))
-                batch = pb.NoticeBatch(notices=waiting, relayed=True)
-                waiting.clear()
+                batch = pb.NoticeBatch(notices=queued, relayed=True)
+                queued.clear()
                 stub = ControlStub(self._channels.get(address))
-                await stub.Report(batch, timeout=SEND_SECONDS)
+                await stub.Report(batch, timeout=SEND_TIMEOUT_SECONDS)
         except CALL_ERRORS as error:
-            waiting.clear()
+            queued.clear()
             logger.debug("notices-not-relayed", keeper=address, error=repr(error))
         finally:
-            del self._busy[address]
+            del self._senders[address]
--- a/packages/node/src/persimmonusher_node/tiers/notice_wire.py
+++ b/packages/node/src/persimmonusher_node/tiers/notice_wire.py
@@ -6,7 +6,7 @@
 from persimmonusher_model.identifiers import RequestId, ServerId, ServiceName
 from persimmonusher_protocol import control_pb2 as pb
 
-FAILURES: Final = {
+KINDS_TO_WIRE: Final = {
     NoticeKind.FAILED: pb.EARLY,
     NoticeKind.FAILED_LATE: pb.LATE,
     NoticeKind.UNREACHED: pb.UNREACHED,
@@ -14,7 +14,7 @@
     NoticeKind.RECOVERED: pb.NONE,
     NoticeKind.LIMITED: pb.LIMITED,
 }
-KINDS: Final = {
+KINDS_FROM_WIRE: Final = {
     pb.EARLY: NoticeKind.FAILED,
     pb.LATE: NoticeKind.FAILED_LATE,
     pb.UNREACHED: NoticeKind.UNREACHED,
@@ -30,7 +30,7 @@
         server=notice.server_id,
         boot=notice.boot_id,
         crashed_by=notice.fingerprint,
-        failure=FAILURES[notice.kind],
+        failure=KINDS_TO_WIRE[notice.kind],
         request=notice.request_id,
         milliseconds=round(notice.seconds * 1000),
         rate_limit=notice.rate_limit,
@@ -39,8 +39,8 @@
 
 def decode_notice(wire: pb.Notice) -> Notice:
     """Return the notice of a wire message."""
-    # A kind that a later release tells of is taken as the plain one.
-    kind = KINDS.get(wire.failure, NoticeKind.FAILED)
+    # A kind that only a later release knows is decoded as the plain failure.
+    kind = KINDS_FROM_WIRE.get(wire.failure, NoticeKind.FAILED)
     return Notice(
         NoticeKind.CRASHED if wire.crashed_by else kind,
         ServiceName(wire.service),
--- a/packages/node/src/persimmonusher_node/tiers/peer_notices.py
+++ b/packages/node/src/persimmonusher_node/tiers/peer_notices.py
@@ -1,4 +1,4 @@
-"""Notices between entries that have no keeper to pass them on."""
+"""Notices that entries send each other directly while no keeper can relay them."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,22 +17,22 @@
 
 logger = structlog.get_logger(__name__)
 
-TELL_SECONDS: Final = 0.5
-"""A notice that took longer to arrive has lost most of its worth."""
-PEERS_TOLD: Final = 16
-"""Peers that one entry tells directly. In larger domains each tells as many of them, others than
-its neighbour does, and those see failures of their own."""
-CALLS_IN_FLIGHT: Final = 64
-"""Calls at one time, so that peers that hang don't gather them without bound."""
+SEND_TIMEOUT_SECONDS: Final = 0.5
+"""A notice that takes longer to arrive has lost most of its value."""
+MAX_PEERS: Final = 16
+"""Peers to which one entry sends notices directly. With more peers than this, neighbouring entries
+send to different ones, and each of these sees failures of its own."""
+MAX_CALLS_IN_FLIGHT: Final = 64
+"""Limit on concurrent calls, so that they don't pile up without bound when peers hang."""
 
 
 class PeerNotices:
-    """Tells the entries of the same keeper directly.
+    """Sends notices directly to the entries that follow the same keeper.
 
-    Guards against the loss of all keepers at once, such as by a cut between them and the entries,
-    which may last for hours: without it each entry would have to see each server's failures for
-    itself, and requests that can't be sent again are lost to each of them. The peers are those that
-    the last keeper named.
+    Guards against the loss of all keepers at once, such as by a network cut between them and the
+    entries, which may last for hours. Without direct notices each entry would have to see each
+    server's failures for itself, at the cost of requests that can't be sent again. The peers are
+    those that the last keeper named.
     """
 
     def __init__(self, own_address: str, channels: ChannelPool) -> None:
@@ -42,14 +42,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def replace_peers(self, addresses: Sequence[str]) -> None:
-        """Take the peers that a keeper named."""
+        """Choose the peers to notify from the addresses that a keeper named."""
         self._peers = choose_peers(addresses, self._own_address)
 
-    def tell(self, notices: Sequence[Notice]) -> None:
-        """Tell all peers, without waiting for any."""
+    def send(self, notices: Sequence[Notice]) -> None:
+        """Send notices to all chosen peers, without waiting for any of them."""
         batch = control_pb2.NoticeBatch(notices=map(encode_notice, notices), relayed=True)
         for address in self._peers:
-            if len(self._tasks) >= CALLS_IN_FLIGHT:
+            if len(self._tasks) >= MAX_CALLS_IN_FLIGHT:
                 return
             task: asyncio.Task[None] = start_coroutine(self._send(address, batch))
             self._tasks.add(task)
@@ -57,33 +57,33 @@
 
     async def _send(self, address: str, batch: control_pb2.NoticeBatch) -> None:
         try:
-            await PeersStub(self._channels.get(address)).Tell(batch, timeout=TELL_SECONDS)
+            await PeersStub(self._channels.get(address)).Tell(batch, timeout=SEND_TIMEOUT_SECONDS)
         except CALL_ERRORS as error:
             logger.debug("peer-not-told", peer=address, error=repr(error))
 
 
 def choose_peers(addresses: Sequence[str], own: str) -> tuple[str, ...]:
-    """Return those that follow the own address in a ring of all.
+    """Return the addresses that come after the own one in a ring of all of them.
 
-    Were they the same few for all, the others of a large domain would never be told of anything.
+    If all entries chose the same few peers, the others would never get a notice.
     """
     later = sorted(address for address in addresses if address > own)
     earlier = sorted(address for address in addresses if address < own)
-    return (*later, *earlier)[:PEERS_TOLD]
+    return (*later, *earlier)[:MAX_PEERS]
 
 
 class PeerNoticeService(PeersBase):
-    """Takes what other entries tell."""
+    """Receives the notices that other entries send directly."""
 
-    def __init__(self, take_notice: Callable[[Notice], None]) -> None:
-        self._take_notice = take_notice
+    def __init__(self, on_notice: Callable[[Notice], None]) -> None:
+        self._on_notice = on_notice
 
     async def Tell(  # noqa: N802
         self, stream: "Stream[control_pb2.NoticeBatch, keeper_pb2.Ack]"
     ) -> None:
-        """Take the notices of one entry."""
+        """Pass the notices of one entry to the handler."""
         batch = await stream.recv_message()
         assert batch is not None
         for notice in batch.notices:
-            self._take_notice(decode_notice(notice))
+            self._on_notice(decode_notice(notice))
         await stream.send_message(keeper_pb2.Ack())
--- a/packages/node/src/persimmonusher_node/tiers/process.py
+++ b/packages/node/src/persimmonusher_node/tiers/process.py
@@ -22,8 +22,8 @@
 
 
 def run_tier(path: Path, edge: Edge) -> bool:
-    """Run with a settings file until a signal; tell whether the stop cut nothing off."""
-    # Until the watch handles it, a hangup would end the process.
+    """Run with a settings file until a signal; return whether the stop cut nothing off."""
+    # Before the settings watch handles SIGHUP, the signal would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     settings = load_settings(path)
     configure_logs(settings)
@@ -40,9 +40,9 @@
 def make_daemon(
     settings: Settings, edge: Edge, channels: ChannelPool, clock: Clock, random: Random
 ) -> "KeeperDaemon | EntryDaemon":
-    """Make the role's daemon.
+    """Make the daemon of the settings' role.
 
-    Only the modules of that role are loaded: what an entry loads delays its first answer.
+    Only the modules of that role are imported, since each import delays an entry's first answer.
     """
     if settings.role is Role.KEEPER:
         from persimmonusher_node.tiers.keeper_daemon import KeeperDaemon
--- a/packages/node/src/persimmonusher_node/tiers/quota_service.py
+++ b/packages/node/src/persimmonusher_node/tiers/quota_service.py
@@ -22,20 +22,22 @@
 
 logger = structlog.get_logger(__name__)
 
-LEND_SECONDS: Final = 0.1
-"""Longest wait for a loan, with the request held: far above the way between failure domains."""
-FRUITLESS_SECONDS: Final = 0.25
-"""Time for which nobody is asked again after no keeper had a token to lend: an organisation far
-beyond its quota costs a few calls a second, not some for each request."""
-FRUITLESS_KEPT: Final = 4_096
-"""Organisations beyond their quotas that are remembered; with more, all are asked for anew."""
-APART_SECONDS: Final = 3.0
-"""A keeper out of touch with a majority for longer grants nothing: another may have taken its place
-among the voters, and its share with it."""
+LOAN_TIMEOUT_SECONDS: Final = 0.1
+"""Longest wait for a loan, while the request waits too: far above the latency between failure
+domains."""
+LOAN_BACKOFF_SECONDS: Final = 0.25
+"""Time without further calls after no keeper had a token to lend: an organisation far beyond its
+quota then costs a few calls a second instead of several for each request."""
+MAX_LOAN_BACKOFFS: Final = 4_096
+"""Organisations for which the wait is remembered. Beyond this limit all are forgotten, and the
+other keepers are asked again."""
+MAX_MAJORITY_AGE_SECONDS: Final = 3.0
+"""A keeper without contact to a majority for longer grants nothing: another one may have replaced
+it as a voter and own its share of the quotas."""
 
 
 class QuotaService(QuotasBase):
-    """Grants requests from this keeper's shares."""
+    """Grants requests from this keeper's shares of the quotas."""
 
     def __init__(
         self,
@@ -52,10 +54,13 @@
         self._clock = clock
         self._shares = QuotaShares(terms, keepers, clock.monotonic())
         self._loans: dict[CallerId, asyncio.Task[bool]] = {}
-        self._fruitless_until: dict[CallerId, float] = {}
+        self._loan_backoff_until: dict[CallerId, float] = {}
 
     async def Take(self, stream: "Stream[pb.QuotaRequest, pb.QuotaReply]") -> None:  # noqa: N802
-        """Grant a request, one to come, or both; no word of it where this keeper can't tell."""
+        """Grant a request, a token for a later one, or both.
+
+        The reply is empty if this keeper knows no quota or may not grant.
+        """
         request = await stream.recv_message()
         assert request is not None
         name = CallerId(request.organisation)
@@ -67,7 +72,7 @@
         await stream.send_message(pb.QuotaReply(granted=grant.now, ahead=grant.ahead))
 
     async def Lend(self, stream: "Stream[pb.LendRequest, pb.LendReply]") -> None:  # noqa: N802
-        """Give up tokens to a keeper that has none."""
+        """Lend tokens to a keeper that has none."""
         request = await stream.recv_message()
         assert request is not None
         name = CallerId(request.organisation)
@@ -87,28 +92,31 @@
         return self._shares.take(name, quota, holder, self._clock.monotonic())
 
     async def _borrow(self, name: CallerId, quota: RequestQuota) -> bool:
-        """Ask the other keepers for tokens, once for all requests that wait for them."""
+        """Ask the other keepers for tokens, once for all requests that wait for them.
+
+        Returns whether they lent at least one token.
+        """
         now = self._clock.monotonic()
-        if now < self._fruitless_until.get(name, now):
+        if now < self._loan_backoff_until.get(name, now):
             return False
-        self._fruitless_until.pop(name, None)
+        self._loan_backoff_until.pop(name, None)
         loan = self._loans.get(name)
         if loan is None:
             loan = self._loans[name] = start_coroutine(self._ask_others(name, quota))
         return await asyncio.shield(loan)
 
     async def _ask_others(self, name: CallerId, quota: RequestQuota) -> bool:
-        """Return whether the others gave up a token or more."""
+        """Return whether the other keepers lent at least one token in all."""
         try:
             replies = await asyncio.gather(
                 *(self._ask(address, name) for address in self._list_others())
             )
             now = self._clock.monotonic()
             self._shares.add(name, quota, sum(replies), now)
-            if len(self._fruitless_until) >= FRUITLESS_KEPT:
-                self._fruitless_until.clear()
+            if len(self._loan_backoff_until) >= MAX_LOAN_BACKOFFS:
+                self._loan_backoff_until.clear()
             if sum(replies) < 1.0:
-                self._fruitless_until[name] = now + FRUITLESS_SECONDS
+                self._loan_backoff_until[name] = now + LOAN_BACKOFF_SECONDS
             return sum(replies) >= 1.0
         finally:
             del self._loans[name]
@@ -116,7 +124,7 @@
     async def _ask(self, address: str, name: CallerId) -> float:
         try:
             stub = QuotasStub(self._channels.get(address))
-            reply = await stub.Lend(pb.LendRequest(organisation=name), timeout=LEND_SECONDS)
+            reply = await stub.Lend(pb.LendRequest(organisation=name), timeout=LOAN_TIMEOUT_SECONDS)
         except CALL_ERRORS as error:
             logger.debug("nothing-lent", keeper=address, error=repr(error))
             return 0.0
@@ -132,11 +140,11 @@
         return None if organisation is None else organisation.quota
 
     def _may_grant(self) -> bool:
-        """Tell whether this keeper is one of those that share the quotas."""
+        """Return whether this keeper is a voter with recent contact to a majority."""
         try:
             keeper = self._role.keeper
         except UsherError:
             return False
         if self._role.identity not in keeper.replica.log.members.list_voters():
             return False
-        return keeper.replica.find_majority_age(self._clock.monotonic()) < APART_SECONDS
+        return keeper.replica.find_majority_age(self._clock.monotonic()) < MAX_MAJORITY_AGE_SECONDS
--- a/packages/node/tests/test_follow_service.py
+++ b/packages/node/tests/test_follow_service.py
@@ -1,4 +1,4 @@
-"""What a keeper sends to its followers, with streams and the log's state faked."""
+"""Tests of a keeper's messages to its followers, with fake streams and a fake log."""
 
 from persimmonusher_node import loop
 
@@ -30,7 +30,7 @@
 
 
 class FakeView:
-    """The configuration at a revision, each with one record."""
+    """A configuration whose batches hold `servers_held` records, at a revision that rises."""
 
     def __init__(self) -> None:
         self.at = Revision(1)
@@ -59,7 +59,7 @@
 
 
 class FakeStream:
-    """One follower's stream, which keeps what was sent."""
+    """One follower's stream, which records the updates sent."""
 
     def __init__(self, number: int) -> None:
         domain = "south" if number == 0 else "north"
@@ -98,10 +98,10 @@
     def report(self, number: int) -> None:
         notice = pb.Notice(service="entries", server=f"s{number}", boot=1, request=f"r{number}")
         batch = pb.NoticeBatch(notices=[notice], relayed=True)
-        self.service._relay.take(batch)
+        self.service._relay.relay(batch)
 
     def test_notices_in_quick_succession_share_their_messages(self) -> None:
-        """A hundred servers fail within a second, and each failure is told to each follower."""
+        """A hundred servers fail within a second, and each follower is sent a notice of each."""
         before = sum(len(stream.sent) for stream in self.streams)
         for number in range(100):
             self.report(number)
@@ -114,21 +114,21 @@
             self.assertEqual(told, [f"s{number}" for number in range(100)])
 
     def test_a_keeper_without_followers_keeps_no_notices(self) -> None:
-        """All entries of a domain follow its other keeper, for days.
+        """All entries of a domain follow its other keeper for days.
 
-        Notices that wait for a follower would fill the memory, and the first one that comes would
-        pass servers by for failures of long ago.
+        Guards against notices that are queued until a follower comes: they would fill the memory,
+        and the first follower would avoid servers because of failures of long ago.
         """
         service = FollowService(
             "north", make_role(), cast("Any", FakeView()), cast("Any", None), SystemClock()
         )
         notice = pb.Notice(service="entries", server="s1", boot=1, request="r1")
-        service._relay.take(pb.NoticeBatch(notices=[notice], relayed=True))
+        service._relay.relay(pb.NoticeBatch(notices=[notice], relayed=True))
         late = FakeStream(1)
         task = start_coroutine(service.Follow(cast("Any", late)))
         self.addCleanup(task.cancel)
         eventlet.sleep(0.1)
-        service._relay.take(pb.NoticeBatch(notices=[pb.Notice(server="s2")], relayed=True))
+        service._relay.relay(pb.NoticeBatch(notices=[pb.Notice(server="s2")], relayed=True))
         eventlet.sleep(0.3)
         told = [notice.server for update in late.sent for notice in update.notices]
         self.assertEqual(told, ["s2"])
@@ -149,10 +149,10 @@
         self.assertEqual(self.view.collected, before + 1)
 
     def test_all_that_start_again_share_one_batch(self) -> None:
-        """All processes were killed, and the entries come back over a second.
+        """All processes were killed, and the entries come back within a second.
 
-        With three thousand servers, encoded for each follower in turn, the last one of sixty had
-        its configuration seconds after the first.
+        Guards against encoding three thousand servers for each follower in turn: the last one of
+        sixty then got its configuration seconds after the first.
         """
         view = FakeView()
         view.servers_held = 3_000
@@ -172,9 +172,9 @@
         self.assertEqual(view.collected, 1)
 
     def test_news_says_nothing_of_freshness(self) -> None:
-        """A message that all followers share may leave late, behind a reader that is slow.
+        """A notice that all followers share may be delayed by a follower that reads slowly.
 
-        An entry that took it for a sign of a majority would trust an old configuration.
+        An entry that took it as proof of a recent majority would trust an old configuration.
         """
         self.report(1)
         eventlet.sleep(0.3)
@@ -184,11 +184,13 @@
             self.assertFalse(update.HasField("majority_age_ms"))
 
     def test_a_follower_elsewhere_is_told_the_loads_of_its_own_servers(self) -> None:
-        """One domain has no keeper. The loads of all servers went to each of its entries, twice a
-        second, over links that are paid by the byte.
+        """The entries of a domain without a keeper follow one in another domain.
+
+        Guards against sending each of them the loads of all servers twice a second, over links that
+        are paid for by the byte.
         """
         loads = {"south-1": 2, "north-1": 3}
-        self.service._loads.take("e1", loads, SystemClock().monotonic())
+        self.service._loads.record("e1", loads, SystemClock().monotonic())
         eventlet.sleep(0.7)
         for number, servers in ((0, {"south-1"}), (1, {"south-1", "north-1"})):
             told = [update for update in self.streams[number].sent if update.has_loads]
@@ -220,7 +222,7 @@
                 self.assertEqual(unpack_part(pack_part(part)), part)
 
     def test_all_servers_take_a_fraction_of_their_size(self) -> None:
-        """All processes were killed, and each entry of a domain without a keeper starts anew."""
+        """All processes were killed, and each entry gets all servers from a keeper elsewhere."""
         part = self.make_part(500)
         self.assertLess(pack_part(part).ByteSize(), part.ByteSize() / 4)
 
--- a/packages/node/tests/test_follower.py
+++ b/packages/node/tests/test_follower.py
@@ -25,7 +25,7 @@
 
 
 class ScriptedKeeper(ControlBase):
-    """A keeper that says how long ago it was in touch with a majority."""
+    """A keeper that reports a set age of its last contact with a majority."""
 
     def __init__(self) -> None:
         with socket.socket() as probe:
@@ -34,7 +34,7 @@
         self.age_ms = FRESH_MS
         self.revision = 0
         self.delay_seconds = 0.0
-        """Time on the way for all that it says."""
+        """Delay of each of its messages and answers."""
         self.peers: list[str] = []
         self.followers = 0
         self.streams = 0
@@ -124,11 +124,11 @@
             eventlet.sleep(0.02)
 
     def test_an_entry_finds_the_side_of_a_cut_that_leads(self) -> None:
-        """The keepers are split. At first none hears of a majority, and the entry tries them all.
+        """A cut splits the keepers. At first none has a majority, and the entry tries them all.
 
-        Then one side elects a leader and takes changes, while the other stays without. An entry
-        that stays with a keeper of the other side works by an old configuration, for as long as it
-        avoids those that it found stale before the election.
+        Then one side elects a leader and accepts changes, while the other has none. An entry that
+        follows a keeper of the other side uses an old configuration for as long as it avoids the
+        keepers that it found stale before the election.
         """
         self.wait_until_current(3.0)
         for leading in range(3):
@@ -141,7 +141,7 @@
                 self.set_ages(*ages)
                 self.wait_until_current(1.5)
 
-    # Guards against time on the way, which grows without a gap, not counting as age.
+    # Guards against transit time that grows gradually and isn't counted as age.
     def test_what_was_long_on_its_way_is_not_taken_for_fresh(self) -> None:
         self.wait_until_current(3.0)
         bound = Settings.model_fields["stale_seconds"].default
@@ -153,7 +153,7 @@
             self.assertFalse(self.follower.is_current())
             eventlet.sleep(0.05)
 
-    # Guards against staying with a keeper whose way has become slow while others are well.
+    # Guards against following a keeper on a slow path while the paths to others are fast.
     def test_an_entry_turns_from_a_slow_way_to_another_keeper(self) -> None:
         self.wait_until_current(3.0)
         slow = next(keeper for keeper in self.keepers if keeper.followers)
@@ -163,7 +163,7 @@
             self.assertTrue(self.follower.is_current())
         self.assertEqual(slow.followers, 0)
 
-    # Guards against a keeper's word being believed before what it holds has arrived.
+    # Guards against trusting a keeper's freshness before the revision that it holds has arrived.
     def test_an_entry_that_lacks_what_its_keeper_holds_is_not_current(self) -> None:
         self.wait_until_current(3.0)
         for keeper in self.keepers:
--- a/packages/node/tests/test_keeper_control.py
+++ b/packages/node/tests/test_keeper_control.py
@@ -1,4 +1,4 @@
-"""What a keeper answers servers by, held against what the others have acknowledged."""
+"""Tests that a keeper acknowledges nothing while it lacks what other keepers acknowledged."""
 
 from persimmonusher_node import loop
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class ScriptedLeader:
-    """Confirms that all accepted changes are up to a revision."""
+    """Confirms a set revision as the last accepted one."""
 
     revision: Revision
 
--- a/packages/node/tests/test_keeper_fleet.py
+++ b/packages/node/tests/test_keeper_fleet.py
@@ -43,7 +43,7 @@
 
 
 class Node:
-    """One instance in this process: its servers, its client, and a keeper where it is one."""
+    """One instance in this process: its gRPC server, its client, and its keeper if it is one."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -128,10 +128,10 @@
         self.assertEqual(verdicts, [Accepted(Revision(n)) for n in (1, 2, 3)])
 
     def test_a_change_is_in_force_everywhere_and_survives_the_leader(self) -> None:
-        """An operator changes a profile while a keeper dies and an entry restarts.
+        """An operator changes a profile while a keeper fails and an entry restarts.
 
-        The change must reach every entry, a resend must get the first verdict from the new
-        leader, and an entry that restarts without keepers must learn from its neighbour.
+        The change must reach every entry, a resend must get the first verdict from the new leader,
+        and an entry that restarts without keepers must get the configuration from its neighbour.
         """
         for name in ("k1", "k2", "k3", "e1", "e2"):
             self.start(name)
@@ -161,7 +161,7 @@
         self.wait_until(lambda: self.nodes["e2"].client.revision() == 4)
 
     def test_keepers_restart_from_their_disks(self) -> None:
-        """All keepers stop; after the restart the accepted changes and verdicts are there."""
+        """All keepers stop; after the restart they still have the accepted changes and verdicts."""
         for name in ("k1", "k2", "k3"):
             self.start(name)
         self.make_service(self.nodes["k2"])
@@ -182,10 +182,10 @@
         return leader
 
     def test_a_wiped_keeper_rejoins_and_a_second_is_lost(self) -> None:
-        """A keeper's disk is replaced by an empty one; once it is back, another keeper dies.
+        """A keeper's disk is replaced by an empty one; once it is back, another keeper is lost.
 
-        The repaired keeper must come back as another identity, become a voter, and then be half
-        of the majority that accepts the next change.
+        The repaired keeper must come back with another identity, become a voter, and then be one of
+        the two keepers whose majority accepts the next change.
         """
         for name in ("k1", "k2", "k3"):
             self.start(name)
@@ -205,9 +205,9 @@
         self.assertEqual(self.nodes["k3"].propose(change), Accepted(Revision(4)))
 
     def test_a_full_disk_stops_a_keeper_until_there_is_space(self) -> None:
-        """The leader's disk is full. It must say so and promise nothing; the others go on.
+        """The leader's disk is full. It must report that and stop; the others go on.
 
-        When there is space again it comes back by itself, with all that was accepted meanwhile.
+        Once there is space again it restarts by itself, with the changes accepted meanwhile.
         """
         for name in ("k1", "k2", "k3"):
             self.start(name)
@@ -239,7 +239,7 @@
     def test_news_travels_between_entries_without_keepers(self) -> None:
         """All keepers are down for hours; one entry has a newer configuration than its neighbour.
 
-        The neighbour hears of it and pulls at once, not at its next turn.
+        The neighbour is notified and pulls it at once, not at its next pull interval.
         """
         first, second = self.start("e1"), self.start("e2")
         configuration = Configuration("fleet")
@@ -253,9 +253,9 @@
             self.wait_until(lambda: second.client.revision() == 2, seconds=1.0)
 
     def test_the_log_is_compacted_between_turns_and_a_late_keeper_takes_the_snapshot(self) -> None:
-        """Many changes are made while a keeper is down; the entries it lacks are compacted away.
+        """Many changes are made while a keeper is down; the log entries it lacks are compacted.
 
-        It must come back by the snapshot, and all must restart from theirs.
+        It must catch up by the snapshot, and all keepers must restart from their snapshots.
         """
         with mock.patch.object(keeper, "SNAPSHOT_ENTRIES", 6):
             for name in ("k1", "k2", "k3"):
@@ -285,7 +285,7 @@
         self.make_service(self.nodes["k1"])
 
     def test_without_a_majority_nothing_is_accepted(self) -> None:
-        """Two of three keepers are lost; the operator is told that no leader answered."""
+        """Two of three keepers are lost; the operator gets the error that no leader answered."""
         for name in ("k1", "k2", "k3"):
             self.start(name)
         self.make_service(self.nodes["k1"])
--- a/packages/node/tests/test_keeper_formation.py
+++ b/packages/node/tests/test_keeper_formation.py
@@ -28,10 +28,10 @@
 
 class FormationTest(unittest.TestCase):
     def test_a_log_is_formed_once_and_by_one(self) -> None:
-        """A repaired keeper comes back empty while others are away, or before they have started.
+        """A repaired keeper comes back empty while others are down or haven't started yet.
 
-        Taken for the first start of the fleet it would form a second, empty log, and what was
-        accepted in the first would be gone.
+        If it took this for the first start of the fleet, it would form a second, empty log, and the
+        changes accepted in the first would be lost.
         """
         cases = [
             ("all empty", "k1#a", [empty(1), empty(2), empty(3)], 0, Step.FORM),
--- a/packages/node/tests/test_keeper_seeds.py
+++ b/packages/node/tests/test_keeper_seeds.py
@@ -4,7 +4,7 @@
 from persimmonusher_agreement.log_messages import KeeperId
 from persimmonusher_node.keeper_calls import KeeperReport, decode_report
 from persimmonusher_node.keeper_formation import Candidate, Formation, Step
-from persimmonusher_node.keeper_seeds import GATHER_SECONDS, SeededFormation
+from persimmonusher_node.keeper_seeds import GATHER_TIMEOUT_SECONDS, SeededFormation
 from persimmonusher_node.keeper_wire import encode_members
 from persimmonusher_protocol import keeper_pb2 as pb
 
@@ -39,10 +39,10 @@
         return formation.plan(KeeperId(own), reports, 0, now)
 
     def test_a_log_is_formed_once_and_by_one(self) -> None:
-        """A keeper that lost its disk comes back while the others are away, or just starting.
+        """A keeper that lost its disk comes back while the others are down or just starting.
 
-        Taken for the first start, it would form a second, empty log, and everything that was
-        acknowledged in the first would be gone.
+        If it took this for the first start, it would form a second, empty log, and the changes
+        acknowledged in the first would be lost.
         """
         all_empty = [empty(1), empty(2), empty(3)]
         cases = [
@@ -57,10 +57,10 @@
                 self.assertIs(self.plan(formation, f"k{own}#a", reports).step, step)
 
     def test_the_first_log_has_as_many_voters_as_are_wanted(self) -> None:
-        """Five keepers start together, and each knows three seeds only.
+        """Five keepers start together, and each knows only three seeds.
 
-        Formed with the seeds alone, the log would be without two of its copies for the first
-        changes, and two lost disks could take them along.
+        A log formed by the seeds alone would lack two copies of the first changes, and two lost
+        disks could lose them.
         """
         formation = self.make()
         reports = [empty(1), empty(2), empty(3)]
@@ -80,15 +80,15 @@
         formation = self.make()
         reports = [empty(1), empty(2), empty(3)]
         self.assertIs(self.plan(formation, "k1#a", reports, 0.0).step, Step.WAIT)
-        late = self.plan(formation, "k1#a", reports, GATHER_SECONDS + 0.1)
+        late = self.plan(formation, "k1#a", reports, GATHER_TIMEOUT_SECONDS + 0.1)
         self.assertIs(late.step, Step.FORM)
         assert late.members is not None
         self.assertEqual(len(late.members.list_voters()), 3)
 
     def test_a_keeper_that_was_replaced_asks_for_a_place_again(self) -> None:
-        """A voter is frozen for so long that a newcomer takes its place, and then wakes.
+        """A voter is frozen for so long that another keeper replaces it, and then resumes.
 
-        Nobody writes to it any more; its own log still names it a voter.
+        Nobody writes to it any more, and its own log still names it a voter.
         """
         formation = self.make(own=4)
         reports = [formed(1), formed(2), gone(3)]
--- a/packages/node/tests/test_keeper_storage.py
+++ b/packages/node/tests/test_keeper_storage.py
@@ -134,10 +134,10 @@
         self.assertEqual((stored.snapshot, len(stored.entries)), (snapshot, 1))
 
     def test_a_crash_between_snapshot_and_log_is_mended(self) -> None:
-        """The keeper takes a snapshot and dies before its log is rewritten.
+        """The keeper saves a snapshot and crashes before its log is rewritten.
 
-        The old log goes on after the snapshot where it holds the snapshot's last entry. Where it
-        differs there, it was overruled and must go.
+        The old log's later entries stay valid if it holds the snapshot's last entry. If it holds
+        another entry there, the snapshot overrides it and the log must be dropped.
         """
         for term, expected in ((1, [3]), (9, [])):
             with self.subTest(term=term):
@@ -150,7 +150,7 @@
                 self.assertEqual([entry.index for entry in stored.entries], expected)
 
     def test_a_torn_last_record_is_cut_off_and_reported(self) -> None:
-        """The machine loses power while a record is written; only a part of it is there."""
+        """The machine loses power during the write of a record, and only a part is on disk."""
         self.fill()
         log = self.folder / "log"
         whole = log.read_bytes()
@@ -164,10 +164,10 @@
                 self.assertEqual(storage.keeper, "k1#a")
 
     def test_damage_makes_the_keeper_another_one(self) -> None:
-        """A bit of a file that was durable flips, or a file is gone.
+        """A bit of a durable file flips, or a file is missing.
 
-        Promises rest on it. The keeper must not go on with less; it sets the files aside and
-        comes back empty under a new identity.
+        The keeper has made promises based on that file, so it must not go on without it. It sets
+        the files aside and comes back empty with a new identity.
         """
 
         def flip(name: str, position: int = 17) -> Callable[[], None]:
@@ -207,10 +207,10 @@
                 self.assertTrue(any(path.name.startswith(self.folder.name) for path in aside))
 
     def test_nothing_is_durable_before_it_is_synced(self) -> None:
-        """The disk is asked to sync before each promise, and again for what is read back.
+        """The disk is synced before each promise, and again for what is read back at a start.
 
-        A process that was killed may have written what it never synced. Read back from the page
-        cache it looks durable, and would be lost with the next power cut.
+        A process that was killed may have written data that it never synced. Read back from the
+        page cache the data looks durable, but the next power cut would lose it.
         """
         storage = self.fill()
         with mock.patch.object(os, "fsync", wraps=os.fsync) as fsync:
--- a/packages/node/tests/test_notice_relay.py
+++ b/packages/node/tests/test_notice_relay.py
@@ -1,4 +1,4 @@
-"""What a keeper tells its entries of failures that other entries saw."""
+"""Tests of which notices a keeper relays to its followers."""
 
 import unittest
 from dataclasses import replace
@@ -7,7 +7,7 @@
 
 from persimmonusher_decisions.notices import Notice, NoticeKind
 from persimmonusher_model.identifiers import RequestId, ServerId, ServiceName
-from persimmonusher_node.tiers.notice_relay import REPEAT_SECONDS, NoticeRelay
+from persimmonusher_node.tiers.notice_relay import REPEAT_WINDOW_SECONDS, NoticeRelay
 from persimmonusher_node.tiers.notice_wire import decode_notice, encode_notice
 from persimmonusher_protocol import control_pb2 as pb
 
@@ -34,13 +34,13 @@
         )
 
     def take(self, *notices: Notice) -> None:
-        self.relay.take(pb.NoticeBatch(notices=[encode_notice(item) for item in notices]))
+        self.relay.relay(pb.NoticeBatch(notices=[encode_notice(item) for item in notices]))
 
     def test_two_late_failures_within_a_moment_are_told(self) -> None:
-        """A server fails all its work at its end; two entries see it, half a second apart.
+        """A server fails all requests late; two entries see it, half a second apart.
 
-        The second failure is the proof. Kept back as a repetition, all entries but one would go on
-        sending work there.
+        Entries avoid a server only after the second late failure. If that notice were dropped as a
+        repetition, all entries but one would go on sending requests there.
         """
         self.take(make_notice("a"))
         self.now += 0.5
@@ -50,7 +50,7 @@
     def test_a_failing_server_is_told_of_once_a_moment(self) -> None:
         failed = [make_notice(name, NoticeKind.FAILED) for name in "abc"]
         self.take(*failed)
-        self.now += REPEAT_SECONDS
+        self.now += REPEAT_WINDOW_SECONDS
         self.take(*failed)
         self.assertEqual([notice.request_id for notice in self.told], ["a", "a"])
 
@@ -58,14 +58,14 @@
         self.take(make_notice("a"), make_notice("b", NoticeKind.FAILED))
         self.assertEqual(len(self.told), 2)
 
-    # Guards against a limit that changes twice within a moment being told only once.
+    # Guards against dropping the second of two changes of a limit within the repeat window.
     def test_a_limit_is_told_whenever_it_changes(self) -> None:
         for rate in (1.0, None, 1.0, 1.0, 0.0, None):
             self.take(replace(make_notice("a", NoticeKind.LIMITED), rate_limit=rate, seconds=0.25))
         self.assertEqual([notice.rate_limit for notice in self.told], [1.0, None, 1.0, 0.0, None])
         self.assertEqual(self.told[0].seconds, 0.25)
 
-    # Guards against a limit, which is no failure, making a failure or recovery news again.
+    # Guards against a limit, which is no failure, letting a repeated failure be relayed again.
     def test_a_limit_between_two_failures_does_not_repeat_them(self) -> None:
         failed = make_notice("a", NoticeKind.FAILED)
         limited = replace(make_notice("b", NoticeKind.LIMITED), rate_limit=1.0)
@@ -73,10 +73,10 @@
         self.assertEqual(len(self.told), 2)
 
     def test_a_failure_is_news_after_a_recovery(self) -> None:
-        """An ill server does one lookup well, and everyone uses it again.
+        """A failing server answers one lookup, and all entries use it again.
 
-        Its next failure came within a moment of the last one, and wasn't told: half a second long
-        all entries of a failure domain sent it requests, and each lost its own.
+        Guards against dropping its next failure, within the repeat window, as a repetition: for
+        half a second all entries of a failure domain then sent it requests, and each lost its own.
         """
         failed = make_notice("a", NoticeKind.FAILED)
         recovered = make_notice("b", NoticeKind.RECOVERED)
--- a/packages/node/tests/test_tiers.py
+++ b/packages/node/tests/test_tiers.py
@@ -80,7 +80,7 @@
 
 
 class KeeperNode:
-    """One keeper in this process, as the daemon composes it."""
+    """One keeper in this process, composed as the daemon does it."""
 
     def __init__(self, number: int, port: int, seeds: tuple[str, ...], folder: Path) -> None:
         self.settings = Settings(
@@ -123,7 +123,7 @@
 
 
 class EntryNode:
-    """One entry's side of the control stream."""
+    """One entry's follower, quotas and directory, without a data plane."""
 
     def __init__(self, number: int, seeds: tuple[str, ...]) -> None:
         settings = Settings(
@@ -144,7 +144,7 @@
         self.quotas = KeeperQuotas(f"e{number}", self.follower.list_keepers, channels, clock)
         self.directory = RegisteredDirectory(self.view)
         self.heard: list[Notice] = []
-        self.follower.take_notice = self.heard.append
+        self.follower.on_notice = self.heard.append
         service = PeerNoticeService(self.heard.append)
         listener = GrpcListener(settings.listen.peers, [service], {"peers": "peer"})
         listener.start()
@@ -189,10 +189,10 @@
         return True
 
     def test_an_accepted_document_and_servers_reach_the_entries(self) -> None:
-        """Keepers and entries start with three seeds and nothing else, in any order.
+        """Keepers and entries start with three seeds and no other addresses, in any order.
 
-        What is accepted by one keeper must be in force at entries that follow another, and be read
-        back, byte for byte, at every keeper.
+        A document that one keeper accepts must come into force at entries that follow another, and
+        every keeper must return it byte for byte.
         """
         self.assertFalse(self.entries[0].view.is_configured())
         content = self.put(3)
@@ -214,9 +214,9 @@
             self.keepers[0].control.replace_document(b'{"version": -1}')
 
     def test_a_leaving_server_is_out_at_entries_of_every_keeper(self) -> None:
-        """A server tells one keeper that it leaves; entries that follow others hear of it.
+        """A server deregisters at one keeper; entries that follow other keepers drop it.
 
-        A late heartbeat of the same start, told to a third keeper, must not bring it back.
+        A late heartbeat of the same boot, sent to a third keeper, must not bring it back.
         """
         self.put(1)
         self.keepers[0].control.register(READY)
@@ -229,7 +229,10 @@
         self.assertEqual(entry.directory.list_servers(SERVICE), [])
 
     def test_a_word_of_an_unknown_service_takes_no_address(self) -> None:
-        """Something else than a server names a service that nobody routes to, at its address."""
+        """Another process registers a server's address for a service without a route.
+
+        Guards against such a registration removing the real server.
+        """
         self.put(1)
         self.keepers[0].control.register(READY)
         odd = replace(READY, server_id="odd", service="odd", boot=9)
@@ -243,8 +246,8 @@
     def test_without_a_majority_nothing_is_acknowledged_or_read(self) -> None:
         """Two of three keepers are lost; an operator and a server reach the third.
 
-        An acknowledgement from it would bind entries that never hear of it, and a read could be
-        older than what the others acknowledged.
+        If it acknowledged a change, entries might never get it, and a read could return less than
+        what the others have acknowledged.
         """
         self.put(1)
         self.keepers[0].control.register(READY)
@@ -273,15 +276,15 @@
         self.wait_for(lambda: notice in self.entries[1].heard)
 
     def test_entries_tell_each_other_of_failures_while_no_keeper_answers(self) -> None:
-        """The keepers are cut off from all entries, for hours, while servers fail in turn.
+        """The keepers are cut off from all entries for hours, while servers fail in turn.
 
-        Each entry would have to see each failure for itself, at the cost of a request that can't
-        be sent again.
+        Without direct notices each entry would have to see each failure for itself, at the cost of
+        a request that can't be sent again.
         """
         self.put(1)
         first, second = self.entries
         self.wait_for(lambda: first.follower.entries == second.follower.entries == 2)
-        # Both are told of each other by the keeper in their own failure domain.
+        # The keeper in their own failure domain sends each of them the other's address.
         self.wait_for(lambda: len(first.follower._peers._peers) == 1)
         for keeper in self.keepers:
             keeper.stack.close()
@@ -293,7 +296,7 @@
     def test_entries_of_one_keeper_learn_what_all_of_them_have_in_progress(self) -> None:
         """Two entries of one domain each have a few requests at the same near server.
 
-        Alone each would take it for hardly busy, and send it more.
+        By its own count alone, each would consider it nearly idle and send it more.
         """
         self.put(1)
         heard: list[dict[ServerId, int]] = []
@@ -301,7 +304,7 @@
         self.wait_for(lambda: all(entry.view.is_current() for entry in self.entries))
         first.lease.list_loads = lambda: {ServerId("s1"): 2}
         second.lease.list_loads = lambda: {ServerId("s1"): 3, ServerId("s2"): 1}
-        second.take_loads = lambda loads: heard.append(dict(loads))
+        second.on_loads = lambda loads: heard.append(dict(loads))
         self.wait_for(lambda: {"s1": 5, "s2": 1} in heard)
         first.lease.list_loads = second.lease.list_loads = dict
         heard.clear()
@@ -320,7 +323,7 @@
             self.wait_for(lambda entry=entry: entry.view.is_current() and entry.view.organisations)
 
     def count_granted(self, requests: int) -> int:
-        """Ask for requests at both entries by turns; return how many were granted."""
+        """Ask for tokens at both entries in turn; return how many were granted."""
         verdicts = []
         for number in range(requests):
             entry = self.entries[number % len(self.entries)]
@@ -329,7 +332,7 @@
         return verdicts.count(QuotaVerdict.GRANTED)
 
     def test_a_quota_holds_over_entries_of_every_keeper(self) -> None:
-        """Guards against an organisation that gets its quota anew from each keeper."""
+        """Guards against an organisation that gets its whole quota from each keeper."""
         self.put_quota(10)
         begun = time.monotonic()
         granted = self.count_granted(200)
@@ -340,14 +343,14 @@
         self.assertGreaterEqual(self.count_granted(20), 5)
 
     def test_a_lost_keepers_entries_get_their_requests_granted_by_another(self) -> None:
-        """Guards against organisations that are refused for as long as one keeper is gone."""
+        """Guards against refusing organisations for as long as one keeper is lost."""
         self.put_quota(1000)
         self.assertEqual(self.count_granted(4), 4)
         self.keepers[0].stack.close()
         self.assertEqual(self.count_granted(4), 4)
 
     def test_a_token_at_hand_is_used_while_no_keeper_answers(self) -> None:
-        """Guards against requests refused in the second in which all keepers start again."""
+        """Guards against refusing requests during the second in which all keepers restart."""
         self.put_quota(1000)
         entry = self.entries[0]
         organisation = self.find_organisation(entry)
