--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -310,7 +310,7 @@
                 self._fail(error)
                 continue
             except Exception as error:
-                logger.exception("keeper-broke")
+                logger.exception("keeper-turn-failed")
                 self._close(f"internal error: {error!r}")
                 continue
             try:
--- a/packages/node/src/persimmonusher_node/keeper_joining.py
+++ b/packages/node/src/persimmonusher_node/keeper_joining.py
@@ -105,7 +105,7 @@
                 stub = KeeperStub(self._channels.get(address))
                 await stub.Introduce(request, timeout=JOIN_TIMEOUT_SECONDS)
             except CALL_ERRORS as error:
-                logger.debug("keeper-not-asked", address=address, error=repr(error))
+                logger.debug("join-call-failed", address=address, error=repr(error))
 
 
 def is_empty(keeper: ConfigurationKeeper) -> bool:
--- a/packages/node/src/persimmonusher_node/tiers/follow_lease.py
+++ b/packages/node/src/persimmonusher_node/tiers/follow_lease.py
@@ -77,10 +77,10 @@
             try:
                 await self._ask(place)
             except CALL_ERRORS as error:
-                logger.debug("keeper-silent", keeper=place.address, error=repr(error))
+                logger.debug("freshness-call-failed", keeper=place.address, error=repr(error))
             except Exception:
                 # If this loop ended, the entry would never be current again.
-                logger.exception("asking-failed", keeper=place.address)
+                logger.exception("freshness-loop-failed", keeper=place.address)
             await asyncio.sleep(ASK_INTERVAL_SECONDS * self._random.uniform(0.9, 1.1))
 
     async def _ask(self, place: KeeperPlace) -> None:
--- a/packages/node/src/persimmonusher_node/tiers/follower.py
+++ b/packages/node/src/persimmonusher_node/tiers/follower.py
@@ -36,8 +36,8 @@
 """A keeper that sends nothing for longer is considered lost: two of its updates are missing, and
 half of the time in which a change is to be in force is left for the next keeper."""
 STALE_FRACTION: Final = 0.6
-"""Part of `stale_seconds` for which a keeper may be without contact to a majority before the entry
-switches to another one: a single lost heartbeat is no reason to."""
+"""Part of `stale_seconds` for which a keeper may be out of contact with a majority before the entry
+switches to another one: a single lost heartbeat is no reason to switch."""
 GRACE_FRACTION: Final = 0.25
 """Part of `stale_seconds` during which a newly followed keeper isn't judged by the configuration's
 age at this entry, which may still be due to the previous keeper."""
@@ -66,7 +66,7 @@
 
 
 class StaleKeeperError(Exception):
-    """The keeper had no contact to a majority for too long, or its answers arrive too late."""
+    """The keeper had no contact with a majority for too long, or its answers arrive too late."""
 
 
 class BetterKeeperError(Exception):
@@ -287,7 +287,7 @@
         """Raise StaleKeeperError for a keeper that reports a stale majority contact."""
         is_stale = age > self._settings.stale_seconds * STALE_FRACTION
         if is_stale and self._has_alternative(place, self._clock.monotonic()):
-            message = f"{place.address} had no contact to a majority for {age:.1f} s"
+            message = f"{place.address} had no contact with a majority for {age:.1f} s"
             raise StaleKeeperError(message)
 
     def _check_lease(self, place: KeeperPlace, followed: float) -> None:
@@ -317,7 +317,7 @@
             self.lease.hold(self._view.revision())
 
     def _check_better_keeper(self, place: KeeperPlace, followed: float) -> None:
-        """Raise BetterKeeperError if there is a better keeper, after a minimum time with this."""
+        """After a minimum time with a keeper, raise BetterKeeperError if there is a better one."""
         now = self._clock.monotonic()
         if now - followed < BETTER_KEEPER_CHECK_SECONDS:
             return
--- a/packages/node/src/persimmonusher_node/tiers/keeper_quotas.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_quotas.py
@@ -123,6 +123,6 @@
         try:
             reply = await QuotasStub(self._channels.get(address)).Take(request, timeout=timeout)
         except CALL_ERRORS as error:
-            logger.debug("quota-not-told", keeper=address, error=repr(error))
+            logger.debug("quota-call-failed", keeper=address, error=repr(error))
             return None
         return reply if reply.HasField("granted") else None
--- a/packages/node/src/persimmonusher_node/tiers/notice_relay.py
+++ b/packages/node/src/persimmonusher_node/tiers/notice_relay.py
@@ -24,8 +24,8 @@
 """Notices of the same server within this time count as repetitions: a fraction of the time for
 which entries avoid a failing server."""
 MAX_RELAYED: Final = {pb.EARLY: 1, pb.LATE: 2, pb.UNREACHED: 3, pb.NONE: 2}
-"""Notices of one kind and server that are relayed within that time, 1 for other kinds: entries may
-act only on the last of them."""
+"""Notices of one kind and server that are relayed within that time, 1 for other kinds: entries act
+on a kind only once they got so many."""
 MAX_REMEMBERED_NOTICES: Final = 4_096
 """Limit of the remembered notices. Beyond it all are forgotten, so that repetitions are relayed."""
 CALLS_PER_SECOND: Final = 10.0
--- a/packages/node/src/persimmonusher_node/tiers/peer_notices.py
+++ b/packages/node/src/persimmonusher_node/tiers/peer_notices.py
@@ -59,7 +59,7 @@
         try:
             await PeersStub(self._channels.get(address)).Tell(batch, timeout=SEND_TIMEOUT_SECONDS)
         except CALL_ERRORS as error:
-            logger.debug("peer-not-told", peer=address, error=repr(error))
+            logger.debug("peer-notices-not-sent", peer=address, error=repr(error))
 
 
 def choose_peers(addresses: Sequence[str], own: str) -> tuple[str, ...]:
--- a/packages/node/src/persimmonusher_node/tiers/quota_service.py
+++ b/packages/node/src/persimmonusher_node/tiers/quota_service.py
@@ -32,7 +32,7 @@
 """Organisations for which the wait is remembered. Beyond this limit all are forgotten, and the
 other keepers are asked again."""
 MAX_MAJORITY_AGE_SECONDS: Final = 3.0
-"""A keeper without contact to a majority for longer grants nothing: another one may have replaced
+"""A keeper out of contact with a majority for longer grants nothing: another one may have replaced
 it as a voter and own its share of the quotas."""
 
 
@@ -126,7 +126,7 @@
             stub = QuotasStub(self._channels.get(address))
             reply = await stub.Lend(pb.LendRequest(organisation=name), timeout=LOAN_TIMEOUT_SECONDS)
         except CALL_ERRORS as error:
-            logger.debug("nothing-lent", keeper=address, error=repr(error))
+            logger.debug("loan-call-failed", keeper=address, error=repr(error))
             return 0.0
         return reply.tokens
 
@@ -140,7 +140,7 @@
         return None if organisation is None else organisation.quota
 
     def _may_grant(self) -> bool:
-        """Return whether this keeper is a voter with recent contact to a majority."""
+        """Return whether this keeper is a voter and in recent contact with a majority."""
         try:
             keeper = self._role.keeper
         except UsherError:
--- a/packages/node/tests/test_follow_service.py
+++ b/packages/node/tests/test_follow_service.py
@@ -110,8 +110,8 @@
         sent = sum(len(stream.sent) for stream in self.streams) - before
         self.assertLess(sent, FOLLOWERS * 30)
         for stream in self.streams:
-            told = [notice.server for update in stream.sent for notice in update.notices]
-            self.assertEqual(told, [f"s{number}" for number in range(100)])
+            received = [notice.server for update in stream.sent for notice in update.notices]
+            self.assertEqual(received, [f"s{number}" for number in range(100)])
 
     def test_a_keeper_without_followers_keeps_no_notices(self) -> None:
         """All entries of a domain follow its other keeper for days.
@@ -130,15 +130,15 @@
         eventlet.sleep(0.1)
         service._relay.relay(pb.NoticeBatch(notices=[pb.Notice(server="s2")], relayed=True))
         eventlet.sleep(0.3)
-        told = [notice.server for update in late.sent for notice in update.notices]
-        self.assertEqual(told, ["s2"])
+        received = [notice.server for update in late.sent for notice in update.notices]
+        self.assertEqual(received, ["s2"])
 
     def test_one_notice_is_told_at_once(self) -> None:
         eventlet.sleep(0.2)
         self.report(1)
         eventlet.sleep(0.05)
-        told = [update for stream in self.streams for update in stream.sent if update.notices]
-        self.assertEqual(len(told), FOLLOWERS)
+        received = [update for stream in self.streams for update in stream.sent if update.notices]
+        self.assertEqual(len(received), FOLLOWERS)
 
     def test_a_change_is_collected_once_for_all_followers(self) -> None:
         before = self.view.collected
@@ -193,16 +193,16 @@
         self.service._loads.record("e1", loads, SystemClock().monotonic())
         eventlet.sleep(0.7)
         for number, servers in ((0, {"south-1"}), (1, {"south-1", "north-1"})):
-            told = [update for update in self.streams[number].sent if update.has_loads]
-            self.assertEqual({load.server for load in told[-1].loads}, servers)
+            received = [update for update in self.streams[number].sent if update.has_loads]
+            self.assertEqual({load.server for load in received[-1].loads}, servers)
 
     def test_keepers_and_peers_are_told_when_they_change(self) -> None:
         eventlet.sleep(1.2)
-        told = [update for update in self.streams[0].sent if update.keepers]
-        self.assertLessEqual(len(told), 2)
-        self.assertEqual(len(told[-1].peers), FOLLOWERS)
+        received = [update for update in self.streams[0].sent if update.keepers]
+        self.assertLessEqual(len(received), 2)
+        self.assertEqual(len(received[-1].peers), FOLLOWERS)
         eventlet.sleep(1.2)
-        self.assertEqual(len([u for u in self.streams[0].sent if u.keepers]), len(told))
+        self.assertEqual(len([u for u in self.streams[0].sent if u.keepers]), len(received))
 
 
 class PackedPartTest(unittest.TestCase):
--- a/packages/node/tests/test_follower.py
+++ b/packages/node/tests/test_follower.py
@@ -120,7 +120,7 @@
     def wait_until_current(self, seconds: float) -> None:
         deadline = time.monotonic() + seconds
         while not self.follower.is_current():
-            self.assertLess(time.monotonic(), deadline, "waited in vain")
+            self.assertLess(time.monotonic(), deadline, "condition not met in time")
             eventlet.sleep(0.02)
 
     def test_an_entry_finds_the_side_of_a_cut_that_leads(self) -> None:
--- a/packages/node/tests/test_notice_relay.py
+++ b/packages/node/tests/test_notice_relay.py
@@ -21,7 +21,7 @@
 class NoticeRelayTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 100.0
-        self.told: list[Notice] = []
+        self.relayed: list[Notice] = []
         members = SimpleNamespace(members=())
         log = SimpleNamespace(members=members)
         role = SimpleNamespace(keeper=SimpleNamespace(replica=SimpleNamespace(log=log)))
@@ -29,7 +29,7 @@
         self.relay = NoticeRelay(
             cast(Any, role),
             cast(Any, None),
-            lambda notices: self.told.extend(map(decode_notice, notices)),
+            lambda notices: self.relayed.extend(map(decode_notice, notices)),
             cast(Any, clock),
         )
 
@@ -45,32 +45,34 @@
         self.take(make_notice("a"))
         self.now += 0.5
         self.take(make_notice("b"), make_notice("c"))
-        self.assertEqual([notice.request_id for notice in self.told], ["a", "b"])
+        self.assertEqual([notice.request_id for notice in self.relayed], ["a", "b"])
 
     def test_a_failing_server_is_told_of_once_a_moment(self) -> None:
         failed = [make_notice(name, NoticeKind.FAILED) for name in "abc"]
         self.take(*failed)
         self.now += REPEAT_WINDOW_SECONDS
         self.take(*failed)
-        self.assertEqual([notice.request_id for notice in self.told], ["a", "a"])
+        self.assertEqual([notice.request_id for notice in self.relayed], ["a", "a"])
 
     def test_an_early_failure_is_news_after_a_late_one(self) -> None:
         self.take(make_notice("a"), make_notice("b", NoticeKind.FAILED))
-        self.assertEqual(len(self.told), 2)
+        self.assertEqual(len(self.relayed), 2)
 
     # Guards against dropping the second of two changes of a limit within the repeat window.
     def test_a_limit_is_told_whenever_it_changes(self) -> None:
         for rate in (1.0, None, 1.0, 1.0, 0.0, None):
             self.take(replace(make_notice("a", NoticeKind.LIMITED), rate_limit=rate, seconds=0.25))
-        self.assertEqual([notice.rate_limit for notice in self.told], [1.0, None, 1.0, 0.0, None])
-        self.assertEqual(self.told[0].seconds, 0.25)
+        self.assertEqual(
+            [notice.rate_limit for notice in self.relayed], [1.0, None, 1.0, 0.0, None]
+        )
+        self.assertEqual(self.relayed[0].seconds, 0.25)
 
     # Guards against a limit, which is no failure, letting a repeated failure be relayed again.
     def test_a_limit_between_two_failures_does_not_repeat_them(self) -> None:
         failed = make_notice("a", NoticeKind.FAILED)
         limited = replace(make_notice("b", NoticeKind.LIMITED), rate_limit=1.0)
         self.take(failed, limited, failed)
-        self.assertEqual(len(self.told), 2)
+        self.assertEqual(len(self.relayed), 2)
 
     def test_a_failure_is_news_after_a_recovery(self) -> None:
         """A failing server answers one lookup, and all entries use it again.
@@ -83,7 +85,7 @@
         for _ in range(2):
             self.take(failed)
             self.take(recovered)
-        self.assertEqual([notice.request_id for notice in self.told], ["a", "b"] * 2)
+        self.assertEqual([notice.request_id for notice in self.relayed], ["a", "b"] * 2)
 
     def test_notices_come_out_as_they_went_in(self) -> None:
         crashed = Notice(NoticeKind.CRASHED, ENTRIES, ServerId("s1"), 7, "poison", RequestId("r"))
--- a/packages/node/tests/test_tiers.py
+++ b/packages/node/tests/test_tiers.py
@@ -171,7 +171,7 @@
     def wait_for(self, what: Callable[[], Any], seconds: float = 10.0) -> None:
         deadline = time.monotonic() + seconds
         while not what():
-            self.assertLess(time.monotonic(), deadline, "waited in vain")
+            self.assertLess(time.monotonic(), deadline, "condition not met in time")
             eventlet.sleep(0.02)
 
     def put(self, version: int, keeper: int = 0, **fields: Any) -> bytes:
