--- a/packages/agreement/src/persimmonusher_agreement/claims.py
+++ b/packages/agreement/src/persimmonusher_agreement/claims.py
@@ -4,7 +4,8 @@
 entry instance dispatches a request only with the grants of a majority, so two entries can't both
 dispatch. Claims need no keeper.
 
-A `ClaimRound` is one instance's try; a `Register` is one instance's memory. Neither does I/O.
+A `ClaimRound` is one instance's attempt to claim a key; a `Register` is one instance's memory of
+claims. Neither does I/O.
 """
 
 from collections.abc import Mapping
@@ -16,7 +17,7 @@
 
 
 class RecordState(Enum):
-    """How far the request under a key has come."""
+    """How far the request with a key has got."""
 
     PENDING = "pending"
     FINISHED = "finished"
@@ -25,15 +26,15 @@
 
 @dataclass(frozen=True)
 class ClaimRecord:
-    """What a register holds under one key."""
+    """What a register holds for one key."""
 
     key: str
     token: str
-    """Names one try of one instance; never used again."""
+    """Identifies one attempt of one instance; never reused."""
     fingerprint: str
     state: RecordState
     expires_in: float
-    """Seconds for which the record is still kept; relative, since clocks differ."""
+    """Seconds until the record expires; relative, since clocks differ."""
     pending_for: float
     """Seconds until a PENDING request must have ended; after that its outcome is unknown."""
     answer: bytes = b""
@@ -57,16 +58,17 @@
 
     GRANTED = "granted"
     TAKEN = "taken"
-    """Another token holds the key; the record is in the vote."""
+    """Another token holds the key; the vote carries its record."""
     ABSTAINED = "abstained"
-    """The register lost its memory, or knows an older roster; it neither grants nor refuses."""
+    """The register neither grants nor refuses: it may lack records after a restart, has an older
+    roster, is full, or the token was released."""
     STALE_ROSTER = "stale-roster"
-    """The claimant's roster is older than the register's: it must catch up first."""
+    """The claimant's roster is older than the register's: the claimant must catch up first."""
 
 
 @dataclass(frozen=True)
 class Vote:
-    """A register's answer, with the boots of peers it knows to have restarted."""
+    """A register's answer, with the boots of those peers that it knows to have restarted."""
 
     register: InstanceId
     boot: int
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Settlement:
-    """Tells registers how the request under a token ended; `state` None gives the key back."""
+    """Reports to registers how the request with a token ended; `state` None releases the key."""
 
     key: str
     token: str
@@ -87,7 +89,7 @@
 
 @dataclass(frozen=True)
 class ShareRequest:
-    """A restarted register asks a peer for the records that both hold."""
+    """A restarted register's request for a peer's records of the keys that both hold."""
 
     register: InstanceId
     boot: int
@@ -96,7 +98,10 @@
 
 @dataclass(frozen=True)
 class ShareAnswer:
-    """A peer's records of the asker's share; `trusted` False means that it lost its own."""
+    """A peer's records of the keys that both hold.
+
+    `trusted` is False if the peer may lack records itself, or has an older roster than the asker.
+    """
 
     register: InstanceId
     trusted: bool
@@ -106,7 +111,7 @@
 
 
 class RoundStatus(Enum):
-    """Where a claim stands."""
+    """The state of a claim."""
 
     OPEN = "open"
     GRANTED = "granted"
@@ -115,15 +120,15 @@
 
 
 class ClaimRound:
-    """One try to claim a key: counts votes until a majority of each register set granted it.
-
-    A vote from a register counts only under the boot that it still runs. Without that, this could
-    happen: register R grants the key and restarts; R reads its share back from peers before this
-    claim reached them, finds nothing, and grants the key to another token; then those peers grant
-    this one, and both tokens count R. Any majority with R holds two of R's four peers, and R reads
-    three of them, so at least one of the two either told R of this claim or learnt R's new boot
-    before it voted here, and says so in its vote. A peer that itself restarts reads known boots
-    back together with the records.
+    """One attempt to claim a key: counts votes until a majority of each register set granted it.
+
+    A register's vote counts only if the register hasn't restarted since. Otherwise two tokens could
+    be granted one key: register R grants the key and restarts; R reads its records back from its
+    peers before this claim reached them, finds nothing, and grants the key to another token; then
+    those peers grant this claim, and both tokens count R. Any majority with R includes two of R's
+    four peers, and R reads three of them. So at least one of the two either sent R the record of
+    this claim or learnt R's new boot before it voted here, and its vote carries that boot. A peer
+    that restarts itself reads the known boots back together with the records.
     """
 
     def __init__(self, request: ClaimRequest, roster: Roster) -> None:
@@ -135,11 +140,11 @@
 
     @property
     def registers(self) -> frozenset[InstanceId]:
-        """Return every register to ask."""
+        """Return all registers whose votes count, of all sets."""
         return frozenset().union(*self._sets)
 
     def receive(self, vote: Vote) -> RoundStatus:
-        """Count a vote; a second vote of the same register replaces its first."""
+        """Count a vote and return the status; a second vote of a register replaces its first."""
         if vote.register in self.registers:
             self._votes[vote.register] = vote
             for instance, boot in vote.known_boots.items():
@@ -147,13 +152,13 @@
         return self.status
 
     def miss(self, register: InstanceId) -> RoundStatus:
-        """Count a register that didn't answer."""
+        """Record that a register didn't answer, and return the status."""
         self._failed.add(register)
         return self.status
 
     @property
     def status(self) -> RoundStatus:
-        """Return where the claim stands."""
+        """Return the state of the claim, from the votes so far."""
         if has_majority(self._list_grants(), self._sets):
             return RoundStatus.GRANTED
         record = self.find_record()
@@ -165,11 +170,11 @@
 
     @property
     def is_stale(self) -> bool:
-        """Tell whether a register knew a newer roster."""
+        """Return whether a register had a newer roster than the claim."""
         return any(vote.kind is VoteKind.STALE_ROSTER for vote in self._votes.values())
 
     def find_record(self) -> ClaimRecord | None:
-        """Return the record that tells most of another claim: finished, unknown, then pending."""
+        """Return another claim's record: a finished one if any, else unknown, then pending."""
         order = {RecordState.FINISHED: 0, RecordState.UNKNOWN: 1, RecordState.PENDING: 2}
         taken = [vote.record for vote in self._votes.values() if vote.record is not None]
         return min(taken, key=lambda record: order[record.state], default=None)
--- a/packages/agreement/src/persimmonusher_agreement/configuration.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration.py
@@ -1,9 +1,9 @@
 """The configuration as a deterministic state machine over committed changes.
 
 Every keeper applies the same changes in the same order and so reaches the same verdicts. Checks
-that may differ between versions of the program, such as a profile's fields, are made by the
-leader before it appends a change (`change_check`); `apply` relies only on the state itself, so
-that keepers of two versions can't part during an upgrade.
+that may differ between versions of the program, such as those of a profile's fields, are made by
+the leader before it appends a change (`change_check`). `apply` depends on the state alone, so that
+the state of keepers of two versions can't diverge during an upgrade.
 """
 
 from collections import OrderedDict, deque
@@ -37,12 +37,13 @@
 from persimmonusher_model.identifiers import Revision
 
 VERDICTS_KEPT: Final = 65_536
-"""More than a day of the target's 47,000 changes: an operator resends within minutes. After that a
-resent change still ends in a conflict, because the object's revision has moved on from what it was
-based on; only a create whose object was retired meanwhile could be accepted a second time."""
+"""More than a day's changes at the target's 47,000 a day; operators resend within minutes. A change
+resent after its verdict was dropped still ends in a conflict, because the object's revision is no
+longer the one that the change was based on. Only a create whose object was retired meanwhile could
+be accepted a second time."""
 
 HISTORY_KEPT: Final = 20
-"""Earlier records per object, for operators who ask what changed."""
+"""Earlier records kept for each object, for operators who ask what changed."""
 
 
 class Configuration:
@@ -66,7 +67,7 @@
         self._store = ConfigurationStore(lineage, self._tombstones_kept)
         self._histories: dict[ObjectKey, deque[Record]] = {}
         self._verdicts: OrderedDict[str, StoredVerdict] = OrderedDict()
-        self._users: dict[ObjectKey, set[ObjectKey]] = {}
+        self._referrers: dict[ObjectKey, set[ObjectKey]] = {}
         self._servers = ServerIndex(self._ended_kept)
 
     @property
@@ -76,7 +77,7 @@
 
     @property
     def store(self) -> ConfigurationStore:
-        """Return the latest records, to be read only."""
+        """Return the latest records; the caller must not change them."""
         return self._store
 
     def collect_since(self, since: Revision) -> Batch:
@@ -90,7 +91,10 @@
         return earlier if latest is None else (*earlier, latest)
 
     def find_verdict(self, change: Change) -> Verdict | None:
-        """Return the verdict given before on this change id, or None for a new one."""
+        """Return the stored verdict on this change id, or None for a new change.
+
+        A change id that was used for a different change is Invalid.
+        """
         stored = self._verdicts.get(change.change_id)
         if stored is None:
             return None
@@ -100,10 +104,10 @@
         return Invalid((Finding(ErrorCode.BAD_REQUEST, "change_id", message),))
 
     def apply(self, change: Change) -> Verdict:
-        """Apply a committed change and return its verdict; a resend gets the first one.
+        """Apply a committed change and return its verdict; a resend gets the first verdict.
 
-        The same change can stand in the log twice: its client lost the answer and asked a new
-        leader while the first copy was on its way. The verdict is kept by change id, inside the
+        The same change can be in the log twice: its client lost the answer and resent it to a new
+        leader while the first copy was in transit. The verdict is stored by change id in the
         replicated state, so that every keeper answers alike, also after a snapshot.
         """
         ordered = ORDERED_KINDS.get(change.key.kind)
@@ -122,23 +126,24 @@
         latest = self._store.find(change.key)
         live = self._store.find_live(change.key)
         if change.based_on != (live.revision if live else 0):
-            return self._refuse_base(change, latest)
+            return self._refuse_base_revision(change, latest)
         findings = self._check_references(change, live)
         if findings:
             return Invalid(findings)
         revision = Revision(self._store.revision + 1)
-        self._keep_history(latest)
-        self._replace_users(change, live)
+        self._append_history(latest)
+        self._update_referrers(change, live)
         record = Record(change.key, revision, change.body, change.change_id, change.operator)
         for forgotten in self._store.put(record):
             self._histories.pop(forgotten, None)
         return Accepted(revision)
 
     def _apply_document(self, change: Change) -> Verdict:
-        """Put a document of a higher version in force; accept the rest without effect.
+        """Store a document of a higher version; accept any other without effect.
 
-        Two operators race, resend and overtake each other with versions of their own, so the
-        version alone decides, and a document that came too late is acknowledged as such.
+        Operators number the versions themselves, and their documents can race, be resent and
+        arrive out of order. So the version alone decides, and a document that came too late is
+        accepted but doesn't replace the newer one.
         """
         live = self._store.find_live(change.key)
         if read_version(change.body) > read_version(live.body if live else None):
@@ -146,7 +151,7 @@
         return Accepted(self._store.revision)
 
     def _apply_server(self, change: Change) -> Verdict:
-        """Take a registration that is newer than what is known; the rest has no effect."""
+        """Apply a registration that is newer than the known one; any other has no effect."""
         if change.body is None:
             if self._store.find_live(change.key) is not None:
                 self._put_ordered(change.key, None, change)
@@ -157,7 +162,7 @@
         if supersedes(new, known):
             for server in apply_registration(new, self._servers.list_rivals(new)):
                 self._put_ordered(server.key, encode_registration(server), change)
-            for key in self._servers.list_forgotten():
+            for key in self._servers.list_expired():
                 self._put_ordered(key, None, change)
         return Accepted(self._store.revision)
 
@@ -169,7 +174,7 @@
         for forgotten in self._store.put(record):
             self._histories.pop(forgotten, None)
 
-    def _refuse_base(self, change: Change, latest: Record | None) -> Verdict:
+    def _refuse_base_revision(self, change: Change, latest: Record | None) -> Verdict:
         if latest is not None:
             return Conflict(latest)
         message = f"there is no {change.key.kind.value} named {change.key.name!r}"
@@ -179,7 +184,7 @@
         kind, name = change.key.kind.value, change.key.name
         if change.body is None and live is None:
             return (Finding(ErrorCode.NOT_FOUND, "name", f"there is no {kind} named {name!r}"),)
-        users = self._users.get(change.key)
+        users = self._referrers.get(change.key)
         if change.body is None and users:
             first = min(users, key=lambda user: user.name)
             message = f"{kind} {name!r} is used by {len(users)}, first {first.name!r}"
@@ -190,26 +195,26 @@
             return (Finding(ErrorCode.NOT_FOUND, REFERENCES[change.key.kind], message),)
         return ()
 
-    def _keep_history(self, latest: Record | None) -> None:
+    def _append_history(self, latest: Record | None) -> None:
         if latest is None:
             return
         history = self._histories.setdefault(latest.key, deque(maxlen=self._history_kept))
         history.append(latest)
 
-    def _replace_users(self, change: Change, live: Record | None) -> None:
+    def _update_referrers(self, change: Change, live: Record | None) -> None:
         if live is not None:
-            self._remove_user(live)
+            self._remove_referrer(live)
         target = find_reference(change.key, change.body)
         if target is not None:
-            self._users.setdefault(target, set()).add(change.key)
+            self._referrers.setdefault(target, set()).add(change.key)
 
-    def _remove_user(self, live: Record) -> None:
+    def _remove_referrer(self, live: Record) -> None:
         target = find_reference(live.key, live.body)
         if target is None:
             return
-        self._users[target].discard(live.key)
-        if not self._users[target]:
-            del self._users[target]
+        self._referrers[target].discard(live.key)
+        if not self._referrers[target]:
+            del self._referrers[target]
 
     def capture(self) -> ConfigurationState:
         """Capture all state for a snapshot."""
@@ -232,7 +237,7 @@
                 self._servers.take(record)
             target = find_reference(record.key, record.body)
             if target is not None:
-                self._users.setdefault(target, set()).add(record.key)
+                self._referrers.setdefault(target, set()).add(record.key)
         self._store.revision = state.revision
         self._store.tombstone_floor = state.tombstone_floor
         self._restore_histories(state.histories)
@@ -241,12 +246,13 @@
 
     def _restore_histories(self, records: Iterable[Record]) -> None:
         for record in records:
-            self._keep_history(record)
+            self._append_history(record)
 
 
 ORDERED_KINDS: Final[dict[ObjectKind, Callable[[Configuration, Change], Verdict]]] = {
     ObjectKind.DOCUMENT: Configuration._apply_document,
     ObjectKind.SERVER: Configuration._apply_server,
 }
-"""Kinds whose objects carry their own order. Applying a change of theirs again changes nothing, so
-they need no stored verdict and no base revision, and no history is kept of them."""
+"""Handlers of the kinds whose objects carry a version of their own. Applying such a change again
+has no effect, so these kinds need no stored verdict and no base revision; no history of them is
+kept."""
--- a/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
@@ -1,7 +1,8 @@
-"""One keeper: its replica of the log with the configuration that the log makes.
+"""One keeper: its replica of the log, and the configuration that results from the log.
 
-Without I/O or clock, like the replica. The owner calls `flush` after each batch of events and
-sends the messages of the result; on a StorageError it drops the keeper and starts from the disk.
+Without network or clock, like the replica. The owner calls `flush` after each batch of events and
+sends the messages of the result; on a StorageError it discards the keeper and starts a new one
+from the disk.
 """
 
 from collections.abc import Mapping
@@ -31,10 +32,10 @@
 
 @dataclass(frozen=True)
 class KeeperOutput:
-    """What a flush hands out: messages to send and verdicts that are now committed."""
+    """The result of a flush: messages to send, and verdicts on changes that it committed."""
 
     lineage: str
-    """The log that the messages belong to; empty while the keeper holds none."""
+    """The id of the log that the messages belong to; empty while the keeper holds no log."""
     messages: tuple[LogMessage, ...]
     verdicts: Mapping[str, Verdict]
     """By change id."""
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True)
 class KeeperStatus:
-    """A keeper as operators see it."""
+    """A keeper's state as operators see it."""
 
     keeper: KeeperId
     role: ReplicaRole
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True)
 class ReadTicket:
-    """A read that waits for the leader's confirmation; it covers up to `index`."""
+    """A read that waits until the leader is confirmed; it returns the state at `index` or later."""
 
     term: int
     round: int
@@ -67,16 +68,16 @@
 
 @dataclass(frozen=True)
 class LossTolerance:
-    """What the keepers are laid out for, from the number of disks that may be lost at once."""
+    """How many copies and voters the fleet needs, given how many disks may be lost at once."""
 
     copies: int = 1
-    """Synced copies that an acknowledgement needs at least, besides a majority."""
+    """Synced copies that an acknowledgement needs at least, in addition to a majority."""
     voters: int | None = None
-    """Voters to have; None takes in every keeper that asks to be one."""
+    """Number of voters to have; None makes every keeper a voter that asks to be one."""
 
     @classmethod
     def for_losses(cls, losses: int) -> "LossTolerance":
-        """Return the layout that keeps every acknowledged change over so many losses."""
+        """Return what keeps every acknowledged change when `losses` disks are lost at once."""
         return cls(copies=losses + 1, voters=2 * losses + 1)
 
 
@@ -84,9 +85,9 @@
 
 
 class ConfigurationKeeper:
-    """Takes changes as leader, replicates them, and keeps the configuration they make.
+    """Accepts changes as leader, replicates them, and holds the resulting configuration.
 
-    `first_answer` has to be another at each start, far from the former ones: see KeeperFreshness.
+    `first_answer` must differ at each start, far from the former values: see `KeeperFreshness`.
     """
 
     def __init__(
@@ -115,21 +116,21 @@
 
     @property
     def replica(self) -> LogReplica:
-        """Return the log's replica, to be read only."""
+        """Return the log's replica; the caller must not change it."""
         return self._replica
 
     def receive(self, message: LogMessage, now: float, lineage: str = "") -> None:
-        """Take a message of another keeper; one of another log is dropped.
+        """Process a message of another keeper; one of another log is dropped.
 
         Guards against a log that was formed, lost before anything was committed, and formed anew:
-        late messages of the first share indexes and terms with the second, but not the entries.
+        late messages of the first log have indexes and terms of the second, but other entries.
         """
         own = self._replica.log.members.lineage
         if not own or not lineage or lineage == own:
             self._replica.receive(message, now)
 
     def advance(self, now: float) -> None:
-        """Let time pass, and as leader take the next step of a change of keepers."""
+        """Run the timers, and as leader propose the next step of a change of keepers."""
         self._replica.advance(now)
         if not self._replica.is_ready_leader or self.has_pending_members():
             return
@@ -143,10 +144,10 @@
             self._replica.propose(step, now)
 
     def propose(self, change: Change, now: float) -> Verdict | None:
-        """Take a change as leader; None says that its verdict comes with a later flush.
+        """Propose a change as leader; return None if its verdict comes with a later flush.
 
-        A resend of a decided change is answered from the replicated verdicts by any keeper. The
-        rest needs the leader: raises NOT_LEADER elsewhere.
+        Any keeper answers the resend of a decided change from the replicated verdicts. Any other
+        change needs the leader: raises NOT_LEADER elsewhere.
         """
         given = self.configuration.find_verdict(change)
         if given is not None:
@@ -160,41 +161,45 @@
         return None
 
     def form(self, members: Members) -> None:
-        """Begin a new log with these members; refused where there is a log already."""
+        """Begin a new log with these members; raise CONFLICT if there is a log already."""
         self._replica.form(form_first_snapshot(members))
 
     def admit(
         self, keeper: KeeperId, address: str, promote: bool, now: float, domain: str = ""
     ) -> None:
-        """Take a keeper that asks to join as a learner; as leader only, one step at a time."""
+        """Add a keeper that asks to join as a learner; leader only.
+
+        Raises NOT_LEADER elsewhere, and UNAVAILABLE while an earlier change of keepers isn't
+        committed.
+        """
         members = add_learner(self._replica.log.members, keeper, address, promote, domain)
         if members is not None:
             self._replica.propose(members, now)
 
     def dismiss(self, keeper: KeeperId, now: float) -> None:
-        """Remove a keeper for good; as leader only."""
+        """Remove a keeper for good; leader only."""
         members = remove_keeper(self._replica.log.members, keeper)
         if members is None:
             raise UsherError(ErrorCode.NOT_FOUND, f"{keeper} is no keeper, or is the last one")
         self._replica.propose(members, now)
 
     def start_read(self, now: float) -> ReadTicket:
-        """Begin a read of the latest committed state; as leader only."""
+        """Begin a read of the latest committed state; leader only."""
         index = self._replica.commit
         return ReadTicket(self._replica.term, self._replica.start_read(now), index)
 
     def is_confirmed(self, ticket: ReadTicket) -> bool:
-        """Tell whether the read may be answered from the configuration here.
+        """Return whether the read may be answered from the configuration here.
 
-        Guards against a leader that was deposed behind a cut and would show an old state as the
-        latest: a majority has to answer a heartbeat sent after the read began.
+        Guards against a leader that was deposed while it was cut off and would return an old state
+        as the latest: a majority has to answer a heartbeat sent after the read began.
         """
         if ticket.term != self._replica.term or self._applied < ticket.index:
             return False
         return self._replica.is_confirmed(ticket.round)
 
     def flush(self) -> KeeperOutput:
-        """Make everything durable, apply what is committed, and return what follows from it."""
+        """Make everything durable, apply committed entries, and return messages and verdicts."""
         messages = self._replica.flush()
         self._take_installed()
         for entry in self._replica.take_committed():
@@ -225,7 +230,7 @@
         )
 
     def has_pending_members(self) -> bool:
-        """Tell whether a change of keepers is not committed yet."""
+        """Return whether a change of keepers is not committed yet."""
         return self._replica.log.members_index > self._replica.commit
 
     def _take_installed(self) -> None:
@@ -235,7 +240,7 @@
             self._applied = snapshot.index
 
     def capture_if_due(self) -> Snapshot | None:
-        """Capture a snapshot of all that is applied, once enough entries stand before it."""
+        """Capture a snapshot of the applied state if enough entries were applied since the last."""
         log = self._replica.log
         if self._applied - log.base_index < self._snapshot_entries:
             return None
@@ -245,11 +250,11 @@
         return Snapshot(self._applied, term, members, self.configuration.capture())
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Let a captured snapshot stand for the log, unless a later one does already."""
+        """Replace the log up to a captured snapshot by it, unless a later one is in place."""
         if snapshot.index > self._replica.log.base_index:
             self._replica.compact(snapshot)
 
 
 def form_first_snapshot(members: Members) -> Snapshot:
-    """Make the snapshot that a new log begins with, the same on every first keeper."""
+    """Return the snapshot that a new log begins with; it is the same on every founding keeper."""
     return Snapshot(1, 1, members, Configuration(members.lineage).capture())
--- a/packages/agreement/src/persimmonusher_agreement/configuration_objects.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_objects.py
@@ -1,4 +1,4 @@
-"""Typed words of the configuration: objects, changes, verdicts and batches of records."""
+"""Data types of the configuration: objects, changes, verdicts and batches of records."""
 
 import hashlib
 import json
@@ -14,7 +14,7 @@
     """What an object of the configuration describes, and what its JSON body holds."""
 
     PROFILE = "profile"
-    """The body is a profile document, as `parse_profile` takes it."""
+    """The body is a profile document, as `parse_profile` accepts it."""
     SERVICE = "service"
     """The body is `{"profile": NAME}`."""
     ROSTER = "roster"
@@ -22,14 +22,14 @@
     ROUTE = "route"
     """Named by host and path, `HOST/PREFIX` or `*/PREFIX`; the body is `{"service": NAME}`."""
     DOCUMENT = "document"
-    """The operator's routing document under a version of its own; see `routing_record`."""
+    """The operator's routing document with a version of its own; see `routing_record`."""
     SERVER = "server"
     """A backend server's registration, written by keepers; see `registration`."""
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectKey:
-    """Names one object of the configuration."""
+    """Identifies one object of the configuration."""
 
     kind: ObjectKind
     name: str
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True)
 class Change:
-    """An operator's wish to create, change or retire one object.
+    """An operator's request to create, change or retire one object.
 
-    `based_on` is the object's revision that the operator saw; 0 says that it must not exist. A
-    `body` of None retires the object. The client makes `change_id` once and keeps it over resends.
+    `based_on` is the object's revision that the operator saw; 0 means that it must not exist. A
+    `body` of None retires the object. The client makes `change_id` once and reuses it in resends.
     """
 
     change_id: str
@@ -50,7 +50,7 @@
     body: str | None
 
     def digest(self) -> str:
-        """Return a hash of the content, to tell a resend from a change id used twice."""
+        """Return a hash of the content, which distinguishes a resend from a reused change id."""
         parts = [self.operator, self.key.kind.value, self.key.name, self.based_on, self.body]
         return hashlib.sha256(json.dumps(parts).encode()).hexdigest()[:32]
 
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """Another change of the same object was accepted first; it is shown whole."""
+    """Another change of the same object was accepted first: `winner` is what it left."""
 
     winner: Record
 
 
 @dataclass(frozen=True)
 class Invalid:
-    """The change was refused with all that is wrong with it."""
+    """The change was refused; the findings list all that is wrong with it."""
 
     findings: tuple[Finding, ...]
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredVerdict:
-    """The verdict on a change id, with the digest of the change that it was given to."""
+    """The verdict on a change id, with the digest of the change that it judged."""
 
     change_id: str
     digest: str
@@ -101,9 +101,9 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """The latest record of each object whose revision is above `since`, up to `revision`.
+    """The latest records of all objects that changed after `since`, up to `revision`.
 
-    A `whole` batch holds every live object: the receiver drops what it doesn't name.
+    A `whole` batch holds every live object: the receiver removes the objects that aren't in it.
     """
 
     lineage: str
@@ -115,14 +115,14 @@
 
 @dataclass(frozen=True)
 class ConfigurationState:
-    """All that a snapshot holds of the configuration."""
+    """The whole state of the configuration, as a snapshot holds it."""
 
     lineage: str
     revision: Revision
     tombstone_floor: Revision
     records: tuple[Record, ...]
-    """Latest records, tombstones included, by rising revision."""
+    """Latest records, tombstones included, in the order of their revisions."""
     histories: tuple[Record, ...]
-    """Earlier records that are still kept, by rising revision."""
+    """Earlier records that are still kept, in the order of their revisions."""
     verdicts: tuple[StoredVerdict, ...]
     """Oldest first."""
--- a/packages/agreement/src/persimmonusher_agreement/configuration_store.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_store.py
@@ -1,4 +1,4 @@
-"""The latest record of each object, and what changed above a revision.
+"""The latest record of each object, and the changes since a revision.
 
 Keepers and entries hold the same store, so that any instance can serve any other.
 """
@@ -11,18 +11,18 @@
 from persimmonusher_model.identifiers import Revision
 
 TOMBSTONES_KEPT: Final = 50_000
-"""About a day of the target's 47,000 changes, if all were retirements. A replica that was away
-longer gets a whole batch instead, so the bound costs bytes and never correctness."""
+"""About a day's changes at the target's 47,000 a day, if all were retirements. A replica that was
+away longer gets a whole batch instead, so the bound costs bytes but never correctness."""
 
 
 class ConfigurationStore:
-    """Latest records by key and by revision; the revision only ever rises."""
+    """Latest records by key and by revision; the revision never falls."""
 
     def __init__(self, lineage: str = "", tombstones_kept: int = TOMBSTONES_KEPT) -> None:
         self.lineage = lineage
         self.revision = Revision(0)
         self.tombstone_floor = Revision(0)
-        """Tombstones up to this revision may be forgotten."""
+        """Tombstones up to this revision may have been removed."""
         self._tombstones_kept = tombstones_kept
         self._records: dict[ObjectKey, Record] = {}
         self._by_revision: dict[Revision, ObjectKey] = {}
@@ -33,7 +33,7 @@
         return self._records.get(key)
 
     def find_live(self, key: ObjectKey) -> Record | None:
-        """Return the object's record unless it was retired or never made."""
+        """Return the object's record, or None if it was retired or never created."""
         record = self._records.get(key)
         return record if record is not None and record.body is not None else None
 
@@ -44,11 +44,14 @@
                 yield record
 
     def list_all(self) -> tuple[Record, ...]:
-        """List all latest records, tombstones included, by rising revision."""
+        """List all latest records, tombstones included, in the order of their revisions."""
         return tuple(self._records[key] for key in self._by_revision.values())
 
     def put(self, record: Record) -> tuple[ObjectKey, ...]:
-        """Take the record of a revision above the current one; return the objects forgotten."""
+        """Store a record and return the keys of the old tombstones that were removed for it.
+
+        Raises ValueError unless the record's revision is above the current one.
+        """
         if record.revision <= self.revision:
             raise ValueError(f"revision {record.revision} is not above {self.revision}")
         former = self._records.get(record.key)
@@ -60,9 +63,9 @@
         self.revision = record.revision
         if record.body is None:
             self._tombstones[record.revision] = record.key
-        return self._forget_tombstones()
+        return self._drop_old_tombstones()
 
-    def _forget_tombstones(self) -> tuple[ObjectKey, ...]:
+    def _drop_old_tombstones(self) -> tuple[ObjectKey, ...]:
         forgotten = []
         while len(self._tombstones) > self._tombstones_kept:
             revision, key = self._tombstones.popitem(last=False)
@@ -73,7 +76,7 @@
         return tuple(forgotten)
 
     def collect_since(self, since: Revision) -> Batch:
-        """Collect what a replica at `since` lacks, as one consistent batch."""
+        """Collect the records that a replica at `since` lacks, as one consistent batch."""
         whole = since < self.tombstone_floor
         start = Revision(0) if whole else since
         records = []
@@ -85,11 +88,11 @@
         return Batch(self.lineage, since, self.revision, tuple(records), whole)
 
     def take(self, batch: Batch) -> tuple[ObjectKey, ...]:
-        """Apply a batch as a whole and return the keys it touched; an old batch touches none.
+        """Apply a batch as a whole and return the changed keys; ignore an old batch.
 
-        Guards against a replica that goes back: a late answer of a slow peer carries a lower
-        revision, and a fleet whose keepers were all wiped carries another lineage. Neither is
-        applied, so what is in force here stays in force.
+        Guards against a replica that goes back: a late answer of a slow peer has a lower revision,
+        and a fleet whose keepers were all wiped has another lineage. Neither is applied, so the
+        configuration in force here stays in force.
         """
         if self.lineage and batch.lineage != self.lineage:
             return ()
--- a/packages/agreement/src/persimmonusher_agreement/durable_log.py
+++ b/packages/agreement/src/persimmonusher_agreement/durable_log.py
@@ -1,4 +1,4 @@
-"""The log and the vote of one keeper, each change written through to its storage."""
+"""The log and the vote of one keeper, with each change written through to its storage."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 class DurableLog(LogView):
-    """A log view whose changes are durable after `sync`; votes and snapshots are so at once."""
+    """A log whose changes are durable after `sync`; votes and snapshots are durable at once."""
 
     def __init__(self, storage: LogStorage) -> None:
         stored = storage.load()
@@ -29,7 +29,7 @@
                 self.members_index, self.members = entry.index, entry.command
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from this index on, and members that they set."""
+        """Remove the entries from this index on, and with them the members that they set."""
         self._storage.truncate(index)
         self._unsynced = True
         super().truncate(index)
@@ -48,17 +48,17 @@
         self.vote = vote
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Let a snapshot stand for the log up to its index; durable on return."""
+        """Replace the log up to a snapshot's index by the snapshot; durable on return."""
         kept = self.replace_base(snapshot)
         self._storage.save_snapshot(snapshot, kept)
         self._unsynced = False
         self.members_index, self.members = self.find_members()
 
     def merge(self, entries: Sequence[Entry], commit: int) -> None:
-        """Append the entries that are new, and drop own ones only where they differ.
+        """Append the entries that are new, and remove own ones only from the first difference on.
 
-        Guards against late and reordered requests: one that ends before the log does must not
-        cut off later entries, which may be acknowledged already.
+        Guards against late and reordered requests: a request that ends before the log does must
+        not remove later entries, which may be acknowledged already.
         """
         for position, entry in enumerate(entries):
             term = self.find_term(entry.index)
@@ -71,13 +71,20 @@
             return
 
     def _check_uncommitted(self, index: int, commit: int) -> None:
-        """Stop rather than drop a committed entry: it can only mean that a disk lied."""
+        """Raise StorageError rather than remove a committed entry.
+
+        A difference in a committed entry means that a disk lost what it reported as synced.
+        """
         if index <= commit:
             message = f"entry {index} is committed here and differs from the leader's"
             raise StorageError(ErrorCode.DAMAGED_STORAGE, message)
 
-    def find_hint(self, previous_index: int, commit: int) -> int:
-        """Return the index before the last term that differs, to skip a round for each entry."""
+    def find_conflict_hint(self, previous_index: int, commit: int) -> int:
+        """Return the index from which the leader should try again after a difference.
+
+        It skips the entries of the term just before `previous_index`, down to the commit index,
+        which saves a round trip for each of them.
+        """
         hint = min(previous_index - 1, self.last_index)
         term = self.find_term(hint)
         while hint > commit and self.find_term(hint) == term:
--- a/packages/agreement/src/persimmonusher_agreement/election_clock.py
+++ b/packages/agreement/src/persimmonusher_agreement/election_clock.py
@@ -1,4 +1,4 @@
-"""The time of a replica of the log: bounded steps, the last word of a leader, the next election."""
+"""The election timers of a replica: bounded time steps, last leader contact, next election."""
 
 from random import Random
 
@@ -6,68 +6,75 @@
 
 
 class ElectionClock:
-    """Time as elections see it. `now` moves by bounded steps; `reading` is the clock's own."""
+    """The time used for elections.
+
+    `reading` is the last reading of the process's clock; `now` follows it in bounded steps.
+    """
 
     def __init__(self, timing: LogTiming, random: Random, reading: float) -> None:
         self._timing = timing
         self._random = random
         self.now = reading
         self.reading = reading
-        self._leader_seen = float("-inf")
-        self._leader_reading = float("-inf")
+        self._leader_heard_at = float("-inf")
+        self._leader_heard_reading = float("-inf")
         self._election_at = reading
-        self._splits = 0
-        """Split votes since a leader was heard."""
+        self._split_votes = 0
+        """Split votes since the last message from a leader."""
         self.draw_election_time(timing.first_election)
 
     def move(self, reading: float) -> None:
-        """Take the time that passed since the last event, within bounds.
+        """Advance `now` by the time since the last reading, within bounds.
 
-        Guards against a clock that jumps. Back, it would stop heartbeats and elections until it
-        caught up; forward, it would depose a healthy leader. Times decide only when something is
-        tried, never what is true, so a wrong one costs at most a needless election.
+        Guards against a clock that jumps. A jump back would stop heartbeats and elections until the
+        clock caught up; a jump forward would depose a healthy leader. Times only decide when to
+        try something, never which state is correct, so a wrong time costs at most a needless
+        election.
         """
         passed = reading - self.reading
         self.reading = reading
         self.now += min(max(passed, 0.0), self._timing.election_timeout / 2)
 
-    def hear_leader(self) -> None:
-        """Take that a leader has just spoken."""
-        self._leader_seen = self.now
-        self._leader_reading = self.reading
-        self._splits = 0
+    def record_leader_contact(self) -> None:
+        """Record that a message from the leader has just arrived."""
+        self._leader_heard_at = self.now
+        self._leader_heard_reading = self.reading
+        self._split_votes = 0
         self.draw_election_time()
 
-    def hears_leader(self) -> bool:
-        """Tell whether a leader spoke within the last election timeout."""
-        return self.now - self._leader_seen < self._timing.election_timeout
+    def has_recent_leader(self) -> bool:
+        """Return whether a message from a leader arrived within the last election timeout."""
+        return self.now - self._leader_heard_at < self._timing.election_timeout
 
     def find_leader_age(self, reading: float) -> float:
-        """Return the seconds since a leader spoke, as the difference of two readings of the clock.
+        """Return the seconds since the last message from a leader, by two readings of the clock.
 
-        Guards against a pause of the process: `now` leaves out what is beyond half an election
-        timeout, for good. Held against it, the clock would show a keeper as out of touch by all its
-        pauses together, for the rest of its life, and entries would leave it.
+        Guards against pauses of the process: `now` permanently leaves out the part of a pause that
+        is beyond half an election timeout. Compared with `now`, a reading would show the keeper as
+        out of contact by the sum of all its pauses until it restarts, and entries would leave it.
         """
-        return reading - self._leader_reading
+        return reading - self._leader_heard_reading
 
     def is_election_due(self) -> bool:
-        """Tell whether the replica has waited for a leader for long enough."""
+        """Return whether the wait for a leader is over, so that an election may start."""
         return self.now >= self._election_at
 
     def draw_election_time(self, shortest: float | None = None) -> None:
-        """Choose by chance when to stand for election, so that replicas don't all do at once."""
+        """Draw the time of the next election at random, so that replicas don't stand all at once.
+
+        The wait is between one and two times `shortest`, by default the election timeout.
+        """
         shortest = self._timing.election_timeout if shortest is None else shortest
         self._election_at = self.now + shortest * (1 + self._random.random())
 
     def retry_after_split(self) -> None:
-        """Stand again soon after a split vote, later with each one that follows it.
+        """Schedule the next election soon after a split vote, with exponential backoff.
 
-        Guards against candidates that tie again and again: were the range of the wait as short as
-        the steps in which they see the time, they would never part.
+        Without the backoff, candidates could tie again and again: if the range of the wait were as
+        short as the steps in which they read the time, they would always stand together.
         """
         timing = self._timing
-        shortest = min(timing.election_timeout, timing.split_vote * 2**self._splits)
-        self._splits += 1
+        shortest = min(timing.election_timeout, timing.split_vote * 2**self._split_votes)
+        self._split_votes += 1
         wait = shortest * (1 + self._random.random())
         self._election_at = min(self._election_at, self.now + wait)
--- a/packages/agreement/src/persimmonusher_agreement/freshness.py
+++ b/packages/agreement/src/persimmonusher_agreement/freshness.py
@@ -1,10 +1,10 @@
 """Upper bounds on how stale the configuration is at a keeper and at an entry.
 
-An age of some seconds says that every change acknowledged longer ago than that is applied here.
+An age of some seconds means that every change acknowledged longer ago than that is applied here.
 
-Each process measures from the moment at which it asked, by its own clock, and never from the moment
-at which an answer arrived: time in transit, in a buffer or in a pause then makes an answer older,
-not fresher. No two clocks are compared; only durations are sent.
+Each process measures from the moment at which it sent its message, by its own clock, and never from
+the moment at which the reply arrived: time in transit, in a buffer or in a pause then makes a reply
+older, not fresher. Clocks of two processes are never compared; only durations are sent.
 """
 
 from collections import deque
@@ -15,9 +15,10 @@
 from persimmonusher_model.identifiers import Revision
 
 ANSWERS_KEPT: Final = 256
-"""Answers whose times are kept: far more than a leader that still counts may be behind."""
+"""Answers whose times are kept: far more than the answers that are in transit to a live leader."""
 GRANTS_KEPT: Final = 16
-"""Answers that wait for their revision to arrive; further ones are left out until one is free."""
+"""Grants that may wait for their revision to be applied; while all are used, new ones are
+dropped."""
 
 
 class KeeperFreshness:
@@ -27,48 +28,52 @@
     the leader's last contact with a majority to that arrival. The answer was sent before it
     arrived, so the contact can't be older than the time since the answer was sent plus that time.
 
-    Numbers of answers begin elsewhere at each start of a keeper, so that a delayed message about an
-    answer of the former process isn't taken for one about an answer of this process.
+    The numbers of answers begin at another value at each start of a keeper, so that a delayed
+    message about an answer of the former process isn't mistaken for one about an answer of this
+    process.
     """
 
     def __init__(self, first_answer: int) -> None:
         self.known_at = float("-inf")
-        """All that was acknowledged before this reading of the own clock is applied here."""
-        self._pending = float("-inf")
-        self._last = first_answer
-        self._answered: dict[int, float] = {}
-        """When each answer was made, by the readings of the own clock."""
+        """Every change acknowledged before this reading of the own clock is applied here."""
+        self._pending_known_at = float("-inf")
+        self._last_answer = first_answer
+        self._answered_at: dict[int, float] = {}
+        """Reading of the own clock when each answer was made, by number."""
 
     def number_answer(self, reading: float) -> int:
-        """Return the number of an answer that is made now."""
-        self._last += 1
-        self._answered[self._last] = reading
-        self._answered.pop(self._last - ANSWERS_KEPT, None)
-        return self._last
-
-    def take_contact(self, contact: MajorityContact) -> None:
-        """Take what a leader says; it counts from the next `settle` on."""
-        answered_at = self._answered.get(contact.answer)
+        """Return the number for an answer that is made at this reading of the clock."""
+        self._last_answer += 1
+        self._answered_at[self._last_answer] = reading
+        self._answered_at.pop(self._last_answer - ANSWERS_KEPT, None)
+        return self._last_answer
+
+    def record_contact(self, contact: MajorityContact) -> None:
+        """Record a contact from the leader's message; it counts from the next `mark_applied` on."""
+        answered_at = self._answered_at.get(contact.answer)
         if answered_at is not None:
-            self._pending = max(self._pending, answered_at - contact.lead)
+            self._pending_known_at = max(self._pending_known_at, answered_at - contact.lead)
 
-    def settle(self, known_at: float = float("-inf")) -> None:
-        """Take that everything received is durable and applied."""
-        self.known_at = max(self.known_at, self._pending, known_at)
+    def mark_applied(self, known_at: float = float("-inf")) -> None:
+        """Record that everything received is durable and applied.
+
+        `known_at` is one more lower bound for the attribute: a leader's last majority contact.
+        """
+        self.known_at = max(self.known_at, self._pending_known_at, known_at)
 
 
 @dataclass(frozen=True)
 class Grant:
-    """A keeper's statement: nothing newer than `revision` was acknowledged before `known_at`."""
+    """A keeper's statement that every change acknowledged before `known_at` is in `revision`."""
 
     known_at: float
     revision: Revision
 
 
 class FreshnessLease:
-    """The freshness of an entry, by the answers of the keeper that it follows.
+    """The freshness of an entry, from the answers of the keeper that it follows.
 
-    An answer counts once the revision that the keeper had is applied here too.
+    An answer counts once the keeper's revision is applied here too.
 
     >>> lease = FreshnessLease()
     >>> lease.grant(10.0, 0.5, Revision(7), held=Revision(6))
@@ -84,7 +89,11 @@
         self._grants: deque[Grant] = deque()
 
     def grant(self, asked_at: float, age: float, revision: Revision, held: Revision) -> None:
-        """Take a keeper's answer to a question: its own age, in seconds, and its revision."""
+        """Record a keeper's answer to a request that was sent at `asked_at`.
+
+        `age` is the keeper's own staleness in seconds, `revision` its revision, and `held` the
+        revision that is applied here.
+        """
         known_at = asked_at - age
         if revision <= held:
             self._known_at = max(self._known_at, known_at)
@@ -92,12 +101,12 @@
             self._grants.append(Grant(known_at, revision))
 
     def hold(self, revision: Revision) -> None:
-        """Take that all up to a revision is in force here."""
+        """Record that all changes up to a revision are in force here."""
         due = [grant for grant in self._grants if grant.revision <= revision]
         for grant in due:
             self._known_at = max(self._known_at, grant.known_at)
             self._grants.remove(grant)
 
     def find_age(self, now: float) -> float:
-        """Return the seconds since all that was acknowledged was surely in force here."""
+        """Return the age: all changes acknowledged longer ago, in seconds, are in force here."""
         return now - self._known_at
--- a/packages/agreement/src/persimmonusher_agreement/keeper_choice.py
+++ b/packages/agreement/src/persimmonusher_agreement/keeper_choice.py
@@ -1,4 +1,4 @@
-"""Which keeper an entry follows."""
+"""The choice of the keeper that an entry follows."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,20 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class KeeperPlace:
-    """Where a keeper's peer interface listens, and its failure domain where that is known."""
+    """The address of a keeper's peer interface, and its failure domain, empty if unknown."""
 
     address: str
     failure_domain: str = ""
 
 
 class KeeperChoice:
-    """Chooses among the keepers that are known.
-
-    A keeper of the entry's own failure domain comes first, as bytes between domains are paid for;
-    among several there, chance spreads the entries. Entries of a domain without a keeper all choose
-    the same one elsewhere: what they have in progress is summed up by the keeper that they follow,
-    and spread over all keepers nobody would know the load of that domain's servers. When it is
-    lost, they all turn to the same next one.
+    """Chooses among the known keepers.
+
+    A keeper of the entry's own failure domain is preferred, since traffic between domains is
+    billed; among several there, a random choice spreads the entries. All entries of a domain
+    without a keeper choose the same keeper of another domain: each keeper adds up the requests in
+    progress of the entries that follow it, and if these entries followed different keepers, no
+    keeper would know the load of that domain's servers. When that keeper is lost, they all switch
+    to the same next one.
     """
 
     def __init__(self, failure_domain: str, random: Random) -> None:
@@ -31,15 +32,15 @@
         self._avoid_until: dict[str, float] = {}
 
     def avoid(self, address: str, until: float) -> None:
-        """Ask a keeper only after the others until then."""
+        """Choose this keeper only after all others until the time `until`."""
         self._avoid_until[address] = until
 
     def is_avoided(self, address: str, now: float) -> bool:
-        """Tell whether a keeper was found lost or stale lately."""
+        """Return whether `avoid` was called for a keeper and its time isn't over."""
         return self._avoid_until.get(address, now) > now
 
     def choose(self, places: Sequence[KeeperPlace], now: float) -> KeeperPlace:
-        """Return the keeper to follow next, an avoided one only where all are."""
+        """Return the keeper to follow next; an avoided one only if all are avoided."""
 
         def rank(place: KeeperPlace) -> tuple[float, int, float]:
             avoided = max(0.0, self._avoid_until.get(place.address, now) - now)
@@ -50,7 +51,10 @@
     def find_better(
         self, followed: KeeperPlace, places: Sequence[KeeperPlace], now: float
     ) -> KeeperPlace | None:
-        """Return a keeper to turn to from the one that is followed; None where there is none."""
+        """Return a keeper that is preferred to the one that is followed, or None.
+
+        A keeper of the entry's own failure domain is never left for another one.
+        """
         if followed.failure_domain == self._failure_domain:
             return None
         usable = [place for place in places if not self.is_avoided(place.address, now)]
--- a/packages/agreement/src/persimmonusher_agreement/log_candidacy.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_candidacy.py
@@ -1,4 +1,4 @@
-"""A replica's part in elections: the votes that it asks for, and those that it gives."""
+"""Elections of the replicated log: the votes that a replica requests and the votes it grants."""
 
 from collections.abc import Iterable
 
@@ -15,10 +15,10 @@
 
 
 class Candidacy:
-    """Asks for votes and counts them, and answers those who ask.
+    """Requests and counts votes, and answers the vote requests of other keepers.
 
-    It adds its messages to the outbox of the replica that it stands for, which decides when to
-    stand and what follows from a majority.
+    It adds its messages to the outbox of its replica, which decides when to start an election and
+    what to do with a majority.
     """
 
     def __init__(
@@ -30,13 +30,13 @@
         self._clock = clock
         self._votes: set[KeeperId] = set()
         self._is_refused = False
-        """Whether a vote was refused since the last question."""
+        """Whether a vote was refused since votes were last requested."""
 
     def ask_pre_votes(self) -> bool:
-        """Ask whether an election could be won; tell whether no other vote is needed.
+        """Request pre-votes; return True if the own vote is a majority already.
 
-        Guards against a keeper that returns from hours of isolation: with a term raised at each
-        timeout it would depose a healthy leader on its return. A pre-vote raises no term, and
+        Guards against a keeper that returns from hours of isolation: if it raised its term at each
+        timeout, it would depose a healthy leader on its return. A pre-vote raises no term, and
         keepers that hear a leader refuse it.
         """
         log = self._log
@@ -47,7 +47,10 @@
         )
 
     def ask_votes(self) -> bool:
-        """Vote for itself in the next term and ask the others; tell whether that is enough."""
+        """Vote for itself in the next term and request the other votes.
+
+        Return True if the own vote is a majority already.
+        """
         log = self._log
         log.save_vote(log.vote.term + 1, self._keeper)
         return self._ask(
@@ -56,28 +59,28 @@
         )
 
     def add_vote(self, voter: KeeperId) -> bool:
-        """Count a vote or a pre-vote; tell whether a majority was given."""
+        """Count a granted vote or pre-vote; return whether a majority granted theirs."""
         self._votes.add(voter)
         return self._log.members.has_majority(self._votes)
 
-    def note_refusal(self) -> bool:
-        """Take that a vote was refused; tell whether it is the first of this election."""
+    def record_refusal(self) -> bool:
+        """Record that a vote was refused; return whether it is the first in this election."""
         is_first, self._is_refused = not self._is_refused, True
         return is_first
 
-    def answer_pre_vote(self, request: PreVoteRequest, hears_leader: bool) -> None:
-        """Tell whether a vote for the asked term would be given."""
+    def answer_pre_vote(self, request: PreVoteRequest, has_recent_leader: bool) -> None:
+        """Answer whether this keeper would grant its vote for the requested term."""
         term = self._log.vote.term
         granted = (
             request.term > term
-            and not hears_leader
+            and not has_recent_leader
             and self._log.is_newer_or_equal(request.last_term, request.last_index)
         )
         answered = request.term if granted else term
         self._outbox.append(PreVoteReply(self._keeper, request.source, answered, granted))
 
     def answer_vote(self, request: VoteRequest) -> None:
-        """Give or refuse the vote of a term; the own term is not below it any more."""
+        """Grant or refuse the vote of a term; the own term must be raised to it before."""
         vote = self._log.vote
         granted = (
             request.term == vote.term
--- a/packages/agreement/src/persimmonusher_agreement/log_leadership.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_leadership.py
@@ -1,4 +1,4 @@
-"""The leader's part of one term: what it knows of the other members and what it sends them."""
+"""The leader's state in one term: the progress of each member, and the messages sent to them."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -17,9 +17,9 @@
 from persimmonusher_agreement.log_timing import LogTiming
 
 BATCH_ENTRIES: Final = 256
-"""Entries in one message, so that a replica far behind doesn't hold up heartbeats."""
+"""Entries in one message at most, so that a replica far behind doesn't delay heartbeats."""
 ROUNDS_KEPT: Final = 64
-"""Rounds whose times are kept; a member that answers an earlier one is not in touch."""
+"""Rounds whose send times are kept; the answer to an earlier round doesn't count as contact."""
 NO_ROUND: Final = -1
 NEVER: Final = float("-inf")
 
@@ -32,33 +32,37 @@
     next_index: int
     heard_at: float
     round: int = NO_ROUND
-    """The latest round that it has answered."""
+    """The latest round that the member answered."""
     round_sent_at: float = NEVER
     """Reading of the clock when that round was sent."""
     answer: int = NO_ANSWER
-    """The number of its answer that arrived last."""
+    """The number of the member's answer that arrived last."""
     answer_at: float = NEVER
-    """Reading of the clock when that one arrived."""
+    """Reading of the clock when that answer arrived."""
     has_contact: bool = False
-    """Whether it was sent what it needs to compute its own freshness."""
+    """Whether the member was sent a `MajorityContact`, to compute its own freshness from."""
     snapshot_at: float = float("-inf")
-    """No snapshot is sent again before this time."""
+    """No snapshot is sent to the member again before this time."""
 
     def acknowledge(self, match: int) -> None:
-        """Take that the log equals the leader's up to `match`; late answers change nothing."""
+        """Record that the log equals the leader's up to `match`; late answers change nothing."""
         self.match_index = max(self.match_index, match)
         self.next_index = max(self.next_index, self.match_index + 1)
 
     def back_off(self, hint: int) -> None:
-        """Take that the log differs before `next_index`; go back to the hint at most."""
+        """Move `next_index` back, at least by one and at most to just after the match.
+
+        Called when the member's log differs before `next_index`; `hint` is the member's proposal
+        for the last index that both logs may share.
+        """
         self.next_index = max(self.match_index + 1, min(self.next_index - 1, hint + 1))
 
 
 class Leadership:
     """Progress of each member, rounds of heartbeats, and the quorum check of one term.
 
-    It adds its messages to the outbox of the replica that it leads for. Only the log's members in
-    force count for a majority.
+    It adds its messages to the outbox of its replica. Only the members that are in force in the log
+    count for a majority.
     """
 
     def __init__(
@@ -72,7 +76,7 @@
         self.round = 0
         self._clock = clock
         self._sent_at = {0: clock.reading}
-        """When each of the latest rounds was sent, by the readings of the clock."""
+        """Reading of the clock when each of the latest rounds was sent."""
         self._keeper = keeper
         self._term = log.vote.term
         self._log = log
@@ -80,10 +84,10 @@
         self._timing = timing
         self._heartbeat_at = clock.now + timing.heartbeat
         self._progress = {keeper: Progress(0, log.last_index + 1, clock.now)}
-        self.follow_members()
+        self.refresh_members()
 
-    def follow_members(self) -> None:
-        """Start with members that are new and forget those that left."""
+    def refresh_members(self) -> None:
+        """Start tracking new members and stop tracking those that were removed."""
         members = {member.keeper for member in self._log.members.members}
         for keeper in members:
             new = Progress(0, self._log.last_index + 1, self._clock.now)
@@ -106,40 +110,40 @@
         return self.round
 
     def broadcast(self, commit: int) -> None:
-        """Send each member the entries it is not known to have."""
+        """Send each member the entries that it is not known to have."""
         for member in self._log.members.members:
             if member.keeper != self._keeper:
                 self._send(member.keeper, commit)
 
-    def take_reply(self, reply: AppendReply, commit: int) -> None:
-        """Take a member's answer of this term, and send what it still lacks."""
+    def handle_reply(self, reply: AppendReply, commit: int) -> None:
+        """Process a member's answer of this term, and send what the member still lacks."""
         progress = self._progress.get(reply.source)
         if progress is None:
             return
         progress.heard_at = self._clock.now
         progress.answer, progress.answer_at = reply.answer, self._clock.reading
-        self._note_round(progress, reply.round)
+        self._record_round(progress, reply.round)
         if reply.success:
             progress.acknowledge(reply.match)
         else:
             progress.back_off(reply.match)
         is_behind = not reply.success or progress.next_index <= self._log.last_index
-        if is_behind or self._lacks_contact(progress, commit):
+        if is_behind or self._needs_contact(progress, commit):
             self._send(reply.source, commit)
 
-    def _lacks_contact(self, progress: Progress, commit: int) -> bool:
-        """Tell whether a member is to hear of the majority before the next heartbeat.
+    def _needs_contact(self, progress: Progress, commit: int) -> bool:
+        """Return whether to send a member its first `MajorityContact` before the next heartbeat.
 
-        Guards against members that answer after the leader's first entry is committed, and would
-        count as stale for a heartbeat after each election.
+        Otherwise a member whose answer arrives after the leader's first entry is committed would
+        count as stale for a heartbeat interval after each election.
         """
         return not progress.has_contact and self._describe_contact(progress, commit) is not None
 
-    def _note_round(self, progress: Progress, round: int) -> None:
-        """Take that a member has answered a round.
+    def _record_round(self, progress: Progress, round: int) -> None:
+        """Record that a member has answered a round.
 
-        It had voted for no later leader when it answered, so no later one had been elected without
-        it when the round was sent.
+        The member had voted for no later leader when it answered. So when the round was sent, no
+        later leader had been elected with its vote.
         """
         sent_at = self._sent_at.get(round)
         if round > progress.round and sent_at is not None:
@@ -171,9 +175,10 @@
         self._outbox.append(request)
 
     def _describe_contact(self, progress: Progress, commit: int) -> MajorityContact | None:
-        """Return what a member needs to compute its own freshness; None where it isn't known.
+        """Return what a member needs to compute its own freshness, or None if it isn't known.
 
-        Before an entry of its own term is committed, a leader may not know what was acknowledged.
+        Until an entry of its own term is committed, a leader may not know all entries that earlier
+        leaders acknowledged.
         """
         contact_at = self.find_majority_contact(self._clock.reading)
         is_known = contact_at != NEVER and progress.answer != NO_ANSWER
@@ -189,15 +194,15 @@
         self._outbox.append(SnapshotRequest(self._keeper, peer, self._term, snapshot, self.round))
 
     def acknowledge_own(self) -> None:
-        """Count the own log like a member's answer; called once it is synced."""
+        """Count the own log like a member's answer; call it once the log is synced."""
         self._progress[self._keeper].acknowledge(self._log.last_index)
 
     def find_majority_match(self, copies: int) -> int:
-        """Return the highest index that a majority of voters, and `copies` at least, hold durably.
+        """Return the highest index that a majority of voters, and at least `copies`, hold durably.
 
         Guards against lost disks: of 3 voters a majority is 2, and when both lose their disks, what
-        they acknowledged is gone. With one copy more than the disks that may be lost at once, one
-        copy is always left. Where there are fewer voters than copies asked for, all must hold it.
+        they acknowledged is gone. With one copy more than the number of disks that may be lost at
+        once, one copy always survives. With fewer voters than `copies`, all voters must hold it.
         """
         voters = self._log.members.list_voters()
         matches = sorted((self._progress[voter].match_index for voter in voters), reverse=True)
@@ -206,7 +211,7 @@
         return matches[max(len(matches) // 2, min(copies, len(matches)) - 1)]
 
     def list_silent(self, now: float, seconds: float) -> set[KeeperId]:
-        """List the members that have not answered for so long."""
+        """List the other members that have not answered for more than `seconds`."""
         return {
             keeper
             for keeper, item in self._progress.items()
@@ -214,10 +219,10 @@
         }
 
     def find_majority_contact(self, reading: float) -> float:
-        """Return the reading of the clock at which the latest round left that a majority answered.
+        """Return when the latest round that a majority answered was sent, as a clock reading.
 
-        An answer counts from when its question was sent: it may have been long on its way, and its
-        sender may have voted for another leader meanwhile.
+        The time of sending counts, not that of the answer's arrival: the answer may have been long
+        in transit, and its sender may have voted for another leader meanwhile.
         """
         voters = self._log.members.list_voters()
         sent = [reading if v == self._keeper else self._progress[v].round_sent_at for v in voters]
@@ -225,16 +230,16 @@
         return sent[len(sent) // 2] if sent else NEVER
 
     def list_matching(self, index: int) -> set[KeeperId]:
-        """List the members that hold the log up to an index durably."""
+        """List the members known to hold the log durably up to an index."""
         return {keeper for keeper, item in self._progress.items() if item.match_index >= index}
 
     def has_lost_quorum(self, now: float) -> bool:
-        """Tell whether no majority answered within an election timeout."""
+        """Return whether no majority has answered within the last election timeout."""
         since = now - self._timing.election_timeout
         heard = {keeper for keeper, item in self._progress.items() if item.heard_at >= since}
         return not self._log.members.has_majority(heard | {self._keeper})
 
     def is_confirmed(self, round: int) -> bool:
-        """Tell whether a majority answered this round of heartbeats or a later one."""
+        """Return whether a majority answered this round of heartbeats or a later one."""
         answered = {keeper for keeper, item in self._progress.items() if item.round >= round}
         return self._log.members.has_majority(answered | {self._keeper})
--- a/packages/agreement/src/persimmonusher_agreement/log_messages.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_messages.py
@@ -9,8 +9,8 @@
 KeeperId = NewType("KeeperId", str)
 """`INSTANCE#DISK`: the instance and the random id of its data folder.
 
-A wiped or replaced disk makes another keeper, so that the promises (votes, acknowledged entries)
-of the lost disk are never taken as kept by the empty one."""
+A wiped or replaced disk is another keeper. So the promises of the lost disk (votes, acknowledged
+entries) are never attributed to the empty one."""
 
 
 def find_instance(keeper: KeeperId) -> str:
@@ -34,7 +34,7 @@
     role: MemberRole
     promote: bool = False
     failure_domain: str = ""
-    """Where it runs, for followers that prefer a keeper near them; empty where it isn't known."""
+    """Where the keeper runs, for followers that prefer a near one; empty if it isn't known."""
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     """The members of the log; in force as soon as it is appended. Changed one voter at a time."""
 
     lineage: str
-    """The random id of this fleet's log, made when it was first formed."""
+    """The random id of this fleet's log, made when the log was formed."""
     members: tuple[Member, ...]
 
     def list_voters(self) -> tuple[KeeperId, ...]:
@@ -50,11 +50,11 @@
         return tuple(m.keeper for m in self.members if m.role is MemberRole.VOTER)
 
     def find(self, keeper: KeeperId) -> Member | None:
-        """Return the member of this identity, or None."""
+        """Return the member with this id, or None."""
         return next((member for member in self.members if member.keeper == keeper), None)
 
     def has_majority(self, keepers: set[KeeperId]) -> bool:
-        """Tell whether these keepers hold more than half of the votes."""
+        """Return whether these keepers hold more than half of the votes."""
         voters = self.list_voters()
         return 2 * sum(voter in keepers for voter in voters) > len(voters)
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Noop:
-    """The first entry of each leader's term: committing it commits all before it."""
+    """The first entry of each leader's term: committing it commits all entries before it."""
 
 
 Command: TypeAlias = Noop | Change | Members
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """All state up to and including an index; it stands for the log before it."""
+    """All state up to and including an index; it replaces the log up to there."""
 
     index: int
     term: int
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Vote:
-    """The promise of a term: at most one candidate gets this keeper's vote in it."""
+    """The keeper's promise in a term: at most one candidate gets its vote."""
 
     term: int
     voted_for: KeeperId | None
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """What every message carries. It is for the identity in `target` alone."""
+    """The fields of every message. Only the keeper with the id `target` may process it."""
 
     source: KeeperId
     target: KeeperId
@@ -117,14 +117,14 @@
 
 @dataclass(frozen=True)
 class PreVoteReply(Message):
-    """A granted reply carries the asked term, a refusal the voter's own."""
+    """A granted reply carries the requested term, a refusal the voter's own."""
 
     granted: bool
 
 
 @dataclass(frozen=True)
 class VoteRequest(Message):
-    """Ask for the vote of a term."""
+    """Request the receiver's vote in a term."""
 
     last_index: int
     last_term: int
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True)
 class VoteReply(Message):
-    """Give or refuse the vote of a term."""
+    """Grant or refuse the vote of a term."""
 
     granted: bool
 
@@ -145,37 +145,41 @@
     """The number of the receiver's answer that arrived last."""
     lead: float
     """Seconds from the sending of the round that a majority answered to the arrival of that answer;
-    negative where the round was sent after it."""
+    negative if the round was sent after the arrival."""
 
 
 @dataclass(frozen=True)
 class AppendRequest(Message):
-    """Entries after `previous_index`; without entries, a heartbeat."""
+    """Entries after `previous_index`; without entries it is a heartbeat."""
 
     previous_index: int
     previous_term: int
     entries: tuple[Entry, ...]
     commit: int
     round: int
-    """Numbers the leader's rounds of heartbeats, to confirm that it still leads."""
+    """Number of the leader's round of heartbeats; answers to it confirm that it still leads."""
     contact: MajorityContact | None = None
-    """Absent where the leader may not know all that was acknowledged."""
+    """None if the leader may not know all acknowledged entries."""
 
 
 @dataclass(frozen=True)
 class AppendReply(Message):
-    """`match` is the last index that is synced and equal to the leader's, or a hint on refusal."""
+    """Answer to an `AppendRequest` or a `SnapshotRequest`.
+
+    On success, `match` is the last index up to which the log is synced and equal to the leader's;
+    otherwise it is a hint for where the leader should try next.
+    """
 
     success: bool
     match: int
     round: int
     answer: int = NO_ANSWER
-    """The sender's own number of this answer, to be named in the leader's next message."""
+    """The sender's own number of this answer, which the leader's next message repeats."""
 
 
 @dataclass(frozen=True)
 class SnapshotRequest(Message):
-    """Replace the log up to the snapshot's index; answered by an AppendReply."""
+    """Replace the log up to the snapshot's index; answered by an `AppendReply`."""
 
     snapshot: Snapshot
     round: int
--- a/packages/agreement/src/persimmonusher_agreement/log_replica.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_replica.py
@@ -1,9 +1,10 @@
 """One keeper's replica of the log: its role in a term, replication and commitment.
 
-A state machine without I/O or clock. Events come in through `receive`, `advance` and `propose`;
-`flush` makes durable what they changed and only then hands out the messages they caused, so that
-no promise leaves before it would survive a crash. A StorageError ends the replica:
-it has made no promise that isn't durable, and its owner starts a new one from the disk.
+A state machine without network or clock; it writes to disk through `LogStorage`. Events come in
+through `receive`, `advance` and `propose`; `flush` makes their changes durable and only then
+returns the messages that they caused, so that no promise is sent before it would survive a crash.
+After a StorageError the replica can't be used any more: it has made no promise that isn't durable,
+and its owner starts a new one from the disk.
 """
 
 from enum import Enum
@@ -36,7 +37,7 @@
 
 
 class ReplicaRole(Enum):
-    """What a replica does in its term."""
+    """The role of a replica in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -79,21 +80,21 @@
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads its term, as far as it knows."""
+        """Return whether this replica leads its term, as far as it knows."""
         return self.role is ReplicaRole.LEADER
 
     @property
     def is_ready_leader(self) -> bool:
-        """Tell whether it leads and has committed an entry of its own term."""
+        """Return whether it leads and has committed an entry of its own term."""
         return self.is_leader and self.log.find_term(self.commit) == self.term
 
     # Events
 
     def receive(self, message: LogMessage, now: float) -> None:
-        """Take a message; one for another identity is dropped.
+        """Process a message; one for another keeper id is dropped.
 
-        Guards against a wiped keeper: what was sent to the lost disk's identity means nothing to
-        the new one, which must not answer for promises that it doesn't know.
+        Guards against a wiped keeper: a message to the id of the lost disk isn't meant for the new
+        one, which must not answer for promises that it doesn't know.
         """
         self._clock.move(now)
         if message.target == self.keeper:
@@ -102,7 +103,7 @@
     def _handle(self, message: LogMessage) -> None:
         match message:
             case PreVoteRequest():
-                self._candidacy.answer_pre_vote(message, self._hears_leader())
+                self._candidacy.answer_pre_vote(message, self._has_live_leader())
             case PreVoteReply():
                 self._on_pre_vote_reply(message)
             case VoteRequest():
@@ -117,7 +118,7 @@
                 self._on_snapshot_request(message)
 
     def advance(self, now: float) -> None:
-        """Let time pass: heartbeats and the quorum check as leader, else the election timeout."""
+        """Run the timers: as leader heartbeats and the quorum check, else the election timeout."""
         self._clock.move(now)
         if self._leadership is not None:
             self._advance_leader(self._leadership)
@@ -127,7 +128,7 @@
                 self._start_pre_vote()
 
     def propose(self, command: Command, now: float) -> int:
-        """Append a command as leader and return its index; raise NOT_LEADER otherwise."""
+        """Append a command and return its index; raise NOT_LEADER if this replica doesn't lead."""
         self._clock.move(now)
         if self._leadership is None:
             raise UsherError(ErrorCode.NOT_LEADER, f"{self.keeper} does not lead the keepers")
@@ -136,43 +137,50 @@
         return self._append_own(self._leadership, command)
 
     def form(self, snapshot: Snapshot) -> None:
-        """Begin a new log with its first snapshot; refused where there is a log already."""
+        """Begin a new log with its first snapshot; raise CONFLICT if there is a log already."""
         if self.log.last_index or self.log.members.members:
             raise UsherError(ErrorCode.CONFLICT, f"{self.keeper} holds a log already")
         self.log.save_vote(max(self.term, snapshot.term), self.log.vote.voted_for)
         self._install(snapshot)
 
     def start_read(self, now: float) -> int:
-        """Begin to confirm that this replica still leads; return the round to ask for."""
+        """Send a round of heartbeats to confirm that this replica still leads; return its number.
+
+        The number is for `is_confirmed`. Raises NOT_LEADER unless this is a ready leader.
+        """
         self._clock.move(now)
         if self._leadership is None or not self.is_ready_leader:
             raise UsherError(ErrorCode.NOT_LEADER, f"{self.keeper} does not lead the keepers")
         return self._leadership.start_round(self.commit)
 
     def is_confirmed(self, round: int) -> bool:
-        """Tell whether a majority answered the round: all committed before it is known here."""
+        """Return whether a majority answered the round.
+
+        Then everything that was committed before the round is known here.
+        """
         return self._leadership is not None and self._leadership.is_confirmed(round)
 
     def list_caught_up(self) -> set[KeeperId]:
-        """List the members whose log holds all that is committed; none but as leader."""
+        """List the members whose log holds all committed entries; empty unless leader."""
         if self._leadership is None:
             return set()
         return self._leadership.list_matching(self.commit)
 
     def list_silent(self, now: float, seconds: float) -> set[KeeperId]:
-        """List the members that have not answered for so long; none but as leader."""
+        """List the members that have not answered for more than `seconds`; empty unless leader."""
         return set() if self._leadership is None else self._leadership.list_silent(now, seconds)
 
     def find_majority_age(self, reading: float) -> float:
-        """Return an age: all that was acknowledged longer ago than that is applied here.
+        """Return an upper bound on the staleness in seconds.
 
-        Hearing a leader isn't enough: it may have lost its majority, its messages may have been
-        delayed, and this replica may not have caught up.
+        Every change that was acknowledged longer ago than that is applied here. Hearing a leader
+        isn't enough: it may have lost its majority, its messages may have been delayed, and this
+        replica may not have caught up.
         """
         return reading - max(self._freshness.known_at, self._find_majority_contact(reading))
 
     def find_silence(self, reading: float) -> float:
-        """Return the seconds since a leader spoke to this replica; 0 while it leads itself."""
+        """Return the seconds since the last message from a leader; 0 while this replica leads."""
         return 0.0 if self._leadership is not None else self._clock.find_leader_age(reading)
 
     def _find_majority_contact(self, reading: float) -> float:
@@ -181,11 +189,11 @@
         return self._leadership.find_majority_contact(reading)
 
     def flush(self) -> tuple[LogMessage, ...]:
-        """Make everything durable, advance the commit index, and return messages to send."""
+        """Make everything durable, advance the commit index, and return the messages to send."""
         self.log.sync()
         if self._leadership is not None:
             self._advance_commit(self._leadership)
-        self._freshness.settle(self._find_majority_contact(self._clock.reading))
+        self._freshness.mark_applied(self._find_majority_contact(self._clock.reading))
         outbox = tuple(self._outbox)
         self._outbox.clear()
         return outbox
@@ -202,7 +210,7 @@
         return installed
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Let a snapshot of applied entries stand for them."""
+        """Replace applied entries by a snapshot of them."""
         self.log.save_snapshot(snapshot)
 
     # Elections
@@ -227,7 +235,7 @@
             self._start_election()
 
     def _on_vote_request(self, message: VoteRequest) -> None:
-        if message.term > self.term and self._hears_leader():
+        if message.term > self.term and self._has_live_leader():
             return
         self._follow_higher_term(message.term)
         self._candidacy.answer_vote(message)
@@ -237,14 +245,14 @@
         if self.role is not ReplicaRole.CANDIDATE or message.term != self.term:
             return
         if not message.granted:
-            if self._candidacy.note_refusal():
+            if self._candidacy.record_refusal():
                 self._clock.retry_after_split()
         elif self._candidacy.add_vote(message.source):
             self._lead()
 
-    def _hears_leader(self) -> bool:
-        """Tell whether a leader is alive here: then elections are refused as a disturbance."""
-        return self.is_leader or self._clock.hears_leader()
+    def _has_live_leader(self) -> bool:
+        """Return whether this replica leads or heard a leader lately; then it refuses elections."""
+        return self.is_leader or self._clock.has_recent_leader()
 
     def _lead(self) -> None:
         self.role = ReplicaRole.LEADER
@@ -268,11 +276,11 @@
     # Leading
 
     def _advance_leader(self, leadership: Leadership) -> None:
-        """Send heartbeats and step down without a majority's answers.
+        """Send heartbeats, or step down if no majority answers.
 
-        Guards against a leader that is silently cut off, one way or both: its followers elect
-        another, and it must stop taking changes rather than keep operators waiting. An election
-        timeout without answers from a majority shows the cut.
+        Guards against a leader that is cut off without an error, in one direction or both: its
+        followers elect another, and it must refuse changes rather than keep operators waiting. It
+        detects the cut by an election timeout without answers from a majority.
         """
         if leadership.has_lost_quorum(self._clock.now):
             self._follow(self.term, None)
@@ -282,14 +290,14 @@
     def _on_append_reply(self, message: AppendReply) -> None:
         self._follow_higher_term(message.term)
         if self._leadership is not None and message.term == self.term:
-            self._leadership.take_reply(message, self.commit)
+            self._leadership.handle_reply(message, self.commit)
 
     def _advance_commit(self, leadership: Leadership) -> None:
-        """Commit what a majority holds durably, and only entries of the own term.
+        """Commit what a majority holds durably, but only through an entry of the own term.
 
         Guards against a lost commit: an entry of an earlier term that reached a majority can
-        still be overwritten by a leader that never saw it. Committing an own entry after it
-        rules such leaders out, as they lose the vote.
+        still be overwritten by a leader that never saw it. Once an entry of the own term after it
+        is on a majority, such a candidate can't win an election any more.
         """
         leadership.acknowledge_own()
         index = leadership.find_majority_match(self._copies)
@@ -302,10 +310,10 @@
         leadership.broadcast(self.commit)
 
     def _check_members(self, members: Members) -> None:
-        """Refuse a change of members that could split the vote.
+        """Refuse a change of members that could allow two majorities without a common member.
 
-        Guards against two majorities without a common member: one voter at a time, each change
-        committed before the next, and none before an entry of the own term is committed.
+        So voters change one at a time, each change is committed before the next, and the first one
+        waits until an entry of the own term is committed.
         """
         if not self.is_ready_leader or self.log.members_index > self.commit:
             raise UsherError(ErrorCode.UNAVAILABLE, "an earlier change of keepers is not committed")
@@ -321,14 +329,14 @@
         previous = message.previous_index
         beyond_base = previous >= self.log.base_index
         if beyond_base and self.log.find_term(previous) != message.previous_term:
-            hint = self.log.find_hint(previous, self.commit)
+            hint = self.log.find_conflict_hint(previous, self.commit)
             self._reply_append(message.source, False, hint, message.round)
             return
         self.log.merge(message.entries, self.commit)
         match = max(previous + len(message.entries), self.log.base_index)
         self.commit = max(self.commit, min(message.commit, match))
         if message.contact is not None and self.commit >= message.commit:
-            self._freshness.take_contact(message.contact)
+            self._freshness.record_contact(message.contact)
         self._reply_append(message.source, True, match, message.round)
 
     def _on_snapshot_request(self, message: SnapshotRequest) -> None:
@@ -350,7 +358,7 @@
             return False
         if term > self.term or self.leader != leader or self.role is not ReplicaRole.FOLLOWER:
             self._follow(term, leader)
-        self._clock.hear_leader()
+        self._clock.record_leader_contact()
         return True
 
     def _reply_append(self, leader: KeeperId, success: bool, match: int, round: int) -> None:
@@ -363,6 +371,6 @@
     def _append_own(self, leadership: Leadership, command: Command) -> int:
         index = self.log.last_index + 1
         self.log.append((Entry(index, self.term, command),))
-        leadership.follow_members()
+        leadership.refresh_members()
         leadership.broadcast(self.commit)
         return index
--- a/packages/agreement/src/persimmonusher_agreement/log_storage.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_storage.py
@@ -9,29 +9,29 @@
 
 
 class StorageError(UsherError):
-    """The disk failed, is full or holds damage: the keeper must make no promise any more."""
+    """The disk failed, is full or holds damaged data: the keeper must make no further promise."""
 
 
 @dataclass(frozen=True)
 class StoredLog:
-    """What a keeper finds on its disk when it starts."""
+    """The contents of a keeper's disk at its start."""
 
     vote: Vote
     snapshot: Snapshot | None
     entries: tuple[Entry, ...]
-    """Contiguous from the index after the snapshot's."""
+    """Contiguous, starting at the index after the snapshot's."""
 
 
 class LogStorage(ABC):
     """A keeper's disk. Every method raises StorageError when the disk fails.
 
-    After an error nothing is known of what reached the disk: the caller makes no promise any more
-    and starts again from `load`.
+    After an error it is unknown what reached the disk: the caller must make no further promise and
+    start again from `load`.
     """
 
     @abstractmethod
     def load(self) -> StoredLog:
-        """Read what is stored and make sure that all of it is durable."""
+        """Read the stored log and make sure that all of it is durable."""
 
     @abstractmethod
     def append(self, entries: Sequence[Entry]) -> None:
@@ -39,7 +39,7 @@
 
     @abstractmethod
     def truncate(self, index: int) -> None:
-        """Drop the entries from this index on; durable only after `sync`."""
+        """Remove the entries from this index on; durable only after `sync`."""
 
     @abstractmethod
     def sync(self) -> None:
@@ -51,4 +51,4 @@
 
     @abstractmethod
     def save_snapshot(self, snapshot: Snapshot, kept: Sequence[Entry]) -> None:
-        """Replace the snapshot and the log by these; durable on return."""
+        """Replace the snapshot and the log by the given ones; durable on return."""
--- a/packages/agreement/src/persimmonusher_agreement/log_view.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_view.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a base that a snapshot stands for."""
+"""The log in memory: the entries after a base, which is the last index of a snapshot."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,7 @@
 
 
 class LogView:
-    """Entries by index, with the members that each position has in force."""
+    """Entries by index, and the members that are in force at each index."""
 
     def __init__(self, snapshot: Snapshot | None, entries: Sequence[Entry]) -> None:
         self.snapshot = snapshot
@@ -25,7 +25,7 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def find_term(self, index: int) -> int | None:
-        """Return the term at an index, or None where the log doesn't reach."""
+        """Return the term at an index, or None if the log doesn't hold that index."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -33,7 +33,7 @@
         return None
 
     def list_from(self, index: int, limit: int | None = None) -> tuple[Entry, ...]:
-        """List entries from an index after the base on."""
+        """List the entries from an index on, which must be after the base; at most `limit`."""
         start = index - self.base_index - 1
         stop = None if limit is None else start + limit
         return tuple(self._entries[start:stop])
@@ -43,14 +43,14 @@
         self._entries.extend(entries)
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from this index on."""
+        """Remove the entries from this index on."""
         del self._entries[index - self.base_index - 1 :]
 
     def replace_base(self, snapshot: Snapshot) -> tuple[Entry, ...]:
-        """Let a snapshot stand for the log up to its index; return the entries kept.
+        """Replace the log up to a snapshot's index by the snapshot; return the entries kept.
 
         Entries after the snapshot stay if the log holds the snapshot's last entry: some may be
-        acknowledged already, and dropping those would break the promise to the leader.
+        acknowledged already, and removing those would break the promise to the leader.
         """
         kept: tuple[Entry, ...] = ()
         if self.find_term(snapshot.index) == snapshot.term:
@@ -62,7 +62,7 @@
         return kept
 
     def find_members(self) -> tuple[int, Members]:
-        """Return the members in force and the index that set them."""
+        """Return the index of the entry that set the members in force, and those members."""
         for entry in reversed(self._entries):
             if isinstance(entry.command, Members):
                 return entry.index, entry.command
@@ -71,12 +71,12 @@
         return self.snapshot.index, self.snapshot.members
 
     def find_members_at(self, index: int) -> Members:
-        """Return the members as of an index that isn't compacted away."""
+        """Return the members in force at an index, which must not be before the base."""
         for entry in reversed(self._entries):
             if entry.index <= index and isinstance(entry.command, Members):
                 return entry.command
         return NO_MEMBERS if self.snapshot is None else self.snapshot.members
 
     def is_newer_or_equal(self, last_term: int, last_index: int) -> bool:
-        """Tell whether a candidate's log holds at least what this one does."""
+        """Return whether a candidate's log is at least as up to date as this one."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
--- a/packages/agreement/src/persimmonusher_agreement/membership.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership.py
@@ -325,4 +325,4 @@
     def _take_silence_reply(
         self, reply: SilenceReply, envelope: Envelope, source: str, active: float
     ) -> None:
-        self.heartbeats.watch.take_reply(reply, envelope.sender, active)
+        self.heartbeats.watch.handle_reply(reply, envelope.sender, active)
--- a/packages/agreement/src/persimmonusher_agreement/roster.py
+++ b/packages/agreement/src/persimmonusher_agreement/roster.py
@@ -1,17 +1,18 @@
 """The roster: which entry instances hold the claims of which keys.
 
-Registers must be the same for every instance that claims a key, so they are picked from a roster
+Registers must be the same for every instance that claims a key, so they are chosen from a roster
 that the keepers commit, never from a membership view, which may differ between two instances. A
-roster works on for hours without keepers.
+roster stays usable for hours without keepers.
 
-Changing it must not let two claims of one key meet disjoint majorities. Three rules hold that:
+A change of the roster must not allow two claims of one key to win with disjoint majorities. Three
+rules ensure that:
 
 1. A claim made under version v needs a majority of the key's registers of version v *and* of
-   version v-1, so claims under v and v+1 share the majority of version v.
+   version v-1, so both claims under v and claims under v+1 need a majority of version v.
 2. A register refuses claims under a version older than its own.
 3. Version v+2 is proposed only once all but two members have applied v+1, and the longest key
-   window has passed since. Then any majority of version v holds a register that refuses v, and
-   what was claimed under v before has expired.
+   window has passed since. Then any majority of version v includes a register that refuses claims
+   under v, and the earlier claims under v have expired.
 """
 
 from collections.abc import Sequence
@@ -25,18 +26,19 @@
 
 REGISTERS_PER_KEY: Final = 5
 """Two registers of a key may be lost, such as by a restart and a failure at the same moment."""
-MAX_LAGGARDS: Final = (REGISTERS_PER_KEY - 1) // 2
-"""Members that may lag behind a version: any majority of 5 then still meets one that doesn't."""
+MAX_LAGGING_MEMBERS: Final = (REGISTERS_PER_KEY - 1) // 2
+"""Members that may not have applied a version yet: any majority of 5 registers then still includes
+one that has."""
 SLOTS: Final = 1_024
-"""Keys share the registers of their slot: ranking 2,500 members takes milliseconds, too long for
-each request, and 1,024 remembered choices still spread the keys evenly."""
+"""All keys of a slot share its registers: ranking 2,500 members takes milliseconds, too long for
+each request, and 1,024 cached choices still spread the keys evenly."""
 
 
 @dataclass(frozen=True)
 class Member:
-    """An instance of the roster and the boot under which it joined.
+    """An instance of the roster and the boot with which it joined.
 
-    A register that runs under another boot has lost its memory and must read it back.
+    A register that runs with another boot has lost its records and must read them back.
     """
 
     instance_id: InstanceId
@@ -56,7 +58,7 @@
     )
 
     def list_sets(self, key: str) -> tuple[frozenset[InstanceId], ...]:
-        """Return the register sets that a claim of the key needs a majority of, each one."""
+        """Return the register sets for a key; a claim needs a majority of each one."""
         slot = xxhash.xxh3_64_intdigest(key.encode()) % SLOTS
         sets = self._sets.get(slot)
         if sets is None:
@@ -70,7 +72,7 @@
         return frozenset(member.instance_id for member in (*self.members, *self.previous))
 
     def find_boot(self, instance: InstanceId) -> int | None:
-        """Return the boot under which an instance joined, or None for one not listed."""
+        """Return the boot with which an instance joined, or None if it isn't a member."""
         for member in self.members:
             if member.instance_id == instance:
                 return member.boot
@@ -78,25 +80,25 @@
 
 
 def choose_registers(members: Sequence[Member], slot: int) -> frozenset[InstanceId]:
-    """Choose the registers of a slot, over as many failure domains as there are."""
+    """Choose the registers of a slot, spread over as many failure domains as possible."""
     domains = {str(member.instance_id): str(member.failure_domain) for member in members}
     chosen = choose_spread(domains, f"claims-{slot}", REGISTERS_PER_KEY)
     return frozenset(InstanceId(name) for name in chosen)
 
 
 def count_majority(registers: int) -> int:
-    """Return how many of a set's registers are a majority."""
+    """Return how many of so many registers are a majority."""
     return registers // 2 + 1
 
 
 def has_majority(votes: frozenset[InstanceId], sets: Sequence[frozenset[InstanceId]]) -> bool:
-    """Tell whether the votes hold a majority of each register set."""
+    """Return whether the votes include a majority of each register set."""
     return bool(sets) and all(len(votes & group) >= count_majority(len(group)) for group in sets)
 
 
 @dataclass(frozen=True)
 class Observation:
-    """A live instance as the keepers' leader sees it."""
+    """A live instance and the roster version that it reports, as the keepers' leader sees it."""
 
     member: Member
     applied_version: int
@@ -105,7 +107,8 @@
 class RosterPlanner:
     """Decides, at the keepers' leader, when the next version may be proposed.
 
-    The planner only ever delays: a leader that was just elected starts its waits anew.
+    Its waits are in memory: a leader that was just elected starts them anew, which can only delay
+    a version.
     """
 
     def __init__(self, founding_size: int, settle_seconds: float) -> None:
@@ -143,7 +146,7 @@
         self, roster: Roster, live: Sequence[Observation], longest_window: float, now: float
     ) -> bool:
         if roster.version == 1:
-            # No claim can be older than the first version, so nothing needs to expire.
+            # No claim is older than the first version, so there is none that has to expire.
             return True
         if roster.version != self._version:
             self._version = roster.version
@@ -152,7 +155,7 @@
             seen.member.instance_id for seen in live if seen.applied_version >= roster.version
         }
         lagging = [m for m in roster.members if m.instance_id not in applied]
-        if len(lagging) > MAX_LAGGARDS:
+        if len(lagging) > MAX_LAGGING_MEMBERS:
             self._in_force_since = None
             return False
         if self._in_force_since is None:
@@ -161,10 +164,10 @@
 
 
 def _list_members(live: Sequence[Observation], known: tuple[Member, ...]) -> tuple[Member, ...]:
-    """List the live members, each under the boot it first joined with.
+    """List the live members, each with the boot with which it first joined.
 
-    A member that restarted keeps its first boot: listing its new one would make a register with
-    lost memory look whole.
+    A member that restarted keeps its first boot: with the new boot in the roster, a register that
+    lost its records would count as complete.
     """
     first_boots = {member.instance_id: member for member in known}
     members = [first_boots.get(seen.member.instance_id, seen.member) for seen in live]
--- a/packages/agreement/src/persimmonusher_agreement/roster_document.py
+++ b/packages/agreement/src/persimmonusher_agreement/roster_document.py
@@ -12,12 +12,12 @@
 from persimmonusher_model.identifiers import FailureDomain, InstanceId
 
 ROSTER_NAME: Final = "entries"
-"""There is one roster, and this is its name."""
+"""The name of the only roster."""
 _KEYS: Final = frozenset({"version", "members", "previous"})
 
 
 def encode_roster(roster: Roster) -> str:
-    """Encode a roster."""
+    """Return the JSON body of a roster."""
     document = {
         "version": roster.version,
         "members": [_encode_member(member) for member in roster.members],
@@ -27,7 +27,7 @@
 
 
 def decode_roster(body: str) -> Roster:
-    """Decode a roster that `check_roster` found in order."""
+    """Decode the body of a roster, which `check_roster` must have accepted."""
     document = json.loads(body)
     return Roster(
         document["version"],
@@ -37,7 +37,7 @@
 
 
 def check_roster(name: str, document: dict[str, object]) -> list[Finding]:
-    """Check a roster's document and return all findings."""
+    """Check a roster's name and decoded body, and return all findings."""
     findings = []
     if name != ROSTER_NAME:
         message = f"the only roster is {ROSTER_NAME!r}, not {name!r}"
--- a/packages/agreement/src/persimmonusher_agreement/server_index.py
+++ b/packages/agreement/src/persimmonusher_agreement/server_index.py
@@ -50,7 +50,7 @@
         keys = self._by_address.get(new.address, set()) - {new.key}
         return [self._live[key] for key in sorted(keys, key=lambda key: key.name)]
 
-    def list_forgotten(self) -> Iterable[ObjectKey]:
+    def list_expired(self) -> Iterable[ObjectKey]:
         """List the ended servers beyond those that are kept, the longest ended first."""
         beyond = len(self._ended) - self._ended_kept
         return [key for key, _ in zip(self._ended, range(beyond), strict=False)]
--- a/packages/agreement/src/persimmonusher_agreement/watch.py
+++ b/packages/agreement/src/persimmonusher_agreement/watch.py
@@ -125,7 +125,7 @@
         age = int((active - heard.at) * 1000)
         return SilenceReply(query.server_id, heard.boot_id, heard.sequence, silent, recent, age)
 
-    def take_reply(self, reply: SilenceReply, sender: InstanceId, active: float) -> None:
+    def handle_reply(self, reply: SilenceReply, sender: InstanceId, active: float) -> None:
         """Count another watcher's answer; one that heard the server is a veto."""
         inquiry = self._inquiries.get(reply.server_id)
         if inquiry is None:
