--- a/packages/agreement/src/persimmonusher_agreement/__init__.py
+++ b/packages/agreement/src/persimmonusher_agreement/__init__.py
@@ -1,1 +1,4 @@
-"""State machines of agreement: the change log, membership, the directory and claims."""
+"""State machines without I/O for agreement between instances.
+
+The replicated log of changes, membership of the fleet, the directory of servers, and claims.
+"""
--- a/packages/agreement/src/persimmonusher_agreement/active_time.py
+++ b/packages/agreement/src/persimmonusher_agreement/active_time.py
@@ -1,4 +1,4 @@
-"""Time in which this process really ran."""
+"""The time in which this process was running, without its pauses."""
 
 from typing import Final
 
@@ -9,10 +9,10 @@
 class ActiveTime:
     """Counts monotonic time, but at most `MAX_STEP_SECONDS` between two readings.
 
-    Failure: a process that was stopped (SIGSTOP, a paused virtual machine) finds on its return that
-    nobody answered it for minutes, and would declare healthy instances and servers gone. All
-    timeouts that judge others run on this clock, so each must pass again while the process runs
-    and its socket is read.
+    Failure: a process that was stopped (SIGSTOP, a paused virtual machine) has had no answer for
+    minutes when it continues, and would declare healthy instances and servers gone. All timeouts
+    that judge others use this clock, so each must pass again while the process runs and reads its
+    socket.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self._pause = 0.0
 
     def advance(self, now: float) -> float:
-        """Take a monotonic reading and return the active seconds."""
+        """Advance to a monotonic reading and return the active seconds."""
         if self._last is not None:
             gap = max(0.0, now - self._last)
             self.seconds += min(gap, MAX_STEP_SECONDS)
--- a/packages/agreement/src/persimmonusher_agreement/anti_entropy.py
+++ b/packages/agreement/src/persimmonusher_agreement/anti_entropy.py
@@ -1,10 +1,10 @@
 """Repair of what rumours missed: two instances compare digests and exchange what differs.
 
-Every step is one or a few datagrams of bounded size, and keeps no state between them, so a lost
-step costs one exchange and the next probe starts another.
+Every step is one or a few datagrams of bounded size, and no state is kept between steps. So a lost
+step costs one exchange, and the next probe starts another.
 
-A tombstone takes part only as an answer to a live record that it supersedes. Were tombstones
-compared like live records, an instance that had already forgotten one would learn it anew from one
+A tombstone is sent only as an answer to a live record that it supersedes. If tombstones were
+compared like live records, an instance that had already removed one would learn it again from one
 that had not, and the two would keep it for ever.
 """
 
@@ -23,20 +23,20 @@
 from persimmonusher_agreement.record_store import BUCKETS, BUCKETS_IN_GROUP, GROUPS, RecordStore
 
 ENTRY_BYTES: Final = 16
-"""Hash and fingerprint of one record in a summary."""
+"""Key hash and fingerprint of one record in a summary."""
 BUCKET_BYTES: Final = 2
 MAX_GROUPS: Final = 8
 MAX_SUMMARIES: Final = 4
 REPAIR_BYTES: Final = 1100
 MAX_REPAIRS: Final = 8
 """Datagrams of records in one answer: 9 KB, some 80 records. An instance that lacks more starts
-the next exchange, with another peer, when these have arrived."""
+another exchange, with another peer, when these have arrived."""
 MAX_WANTED: Final = 100
 
 
 @dataclass(frozen=True)
 class Difference:
-    """What a summary showed: records that its sender lacks, and hashes that we lack."""
+    """What a summary showed: records that its sender lacks, and key hashes of those we lack."""
 
     records: tuple[Record, ...]
     wanted: tuple[int, ...]
@@ -52,7 +52,7 @@
 
     @property
     def is_small(self) -> bool:
-        """Tell whether all live records fit one summary, so that no digests are needed."""
+        """Return whether all live records fit one summary, so that no digests are needed."""
         return self._store.live_count * ENTRY_BYTES <= self._summary_bytes
 
     def start(self) -> Summary | GroupDigests:
@@ -62,14 +62,14 @@
         return GroupDigests(self._store.list_groups())
 
     def answer_groups(self, message: GroupDigests) -> tuple[BucketDigests, ...]:
-        """Return the digests of the buckets of some groups that differ."""
+        """Return the digests of all buckets of some groups that differ, chosen at random."""
         pairs = zip(range(GROUPS), message.digests, self._store.list_groups(), strict=False)
         differing = [group for group, theirs, ours in pairs if theirs != ours]
         chosen = self._random.sample(differing, min(MAX_GROUPS, len(differing)))
         return tuple(BucketDigests(group, self._store.list_buckets(group)) for group in chosen)
 
     def answer_buckets(self, message: BucketDigests) -> tuple[Summary, ...]:
-        """Return summaries of the buckets that differ, as many as are allowed at a time."""
+        """Return summaries of buckets that differ, at most `MAX_SUMMARIES`."""
         if not 0 <= message.group < GROUPS:
             return ()
         start = message.group * BUCKETS_IN_GROUP
@@ -88,17 +88,20 @@
             record for key, record in ours.items() if theirs.get(key) != record.fingerprint
         ]
         lacking = [key for key in theirs if key not in ours]
-        buried = [held for key in lacking if (held := self._store.get(key)) is not None]
+        held_tombstones = [held for key in lacking if (held := self._store.get(key)) is not None]
         wanted = [key for key in lacking if self._store.get(key) is None]
-        return Difference((*buried, *differing), tuple(wanted[:MAX_WANTED]))
+        return Difference((*held_tombstones, *differing), tuple(wanted[:MAX_WANTED]))
 
     def answer_wanted(self, keys: Iterable[int]) -> tuple[Record, ...]:
-        """Return the records that were asked for by hash."""
+        """Return the records with these key hashes, as far as they are held."""
         held = (self._store.get(key) for key in keys)
         return tuple(record for record in held if record is not None)
 
     def _pack(self, buckets: Iterable[int]) -> tuple[Summary, ...]:
-        """Put buckets into as few summaries as their sizes allow."""
+        """Pack the buckets, in their order, into summaries of at most `summary_bytes`.
+
+        A single bucket that is larger has a summary of its own.
+        """
         summaries: list[Summary] = []
         chosen: list[int] = []
         records: list[Record] = []
@@ -116,7 +119,7 @@
 
 
 def split_records(records: Iterable[Record], limit_bytes: int) -> list[tuple[Record, ...]]:
-    """Split records into pieces that each fit one datagram."""
+    """Split records into pieces of at most `limit_bytes`; a larger record is a piece of its own."""
     pieces: list[tuple[Record, ...]] = []
     piece: list[Record] = []
     room = limit_bytes
--- a/packages/agreement/src/persimmonusher_agreement/change_check.py
+++ b/packages/agreement/src/persimmonusher_agreement/change_check.py
@@ -1,4 +1,4 @@
-"""Checks of a change on its own, made by the leader before it appends the change."""
+"""Checks of a single change, made by the leader before it appends the change."""
 
 import json
 from typing import Final
@@ -11,7 +11,7 @@
 from persimmonusher_model.profile import parse_profile
 
 MAX_NAME_CHARACTERS: Final = 512
-"""Also for change ids and operators. A long path prefix fits; a request's whole URL doesn't."""
+"""For names, change ids and operators. A long path prefix fits; a request's whole URL doesn't."""
 
 MAX_BODY_CHARACTERS: Final = {
     ObjectKind.PROFILE: 65_536,
@@ -21,13 +21,13 @@
     ObjectKind.DOCUMENT: 16_777_216,
     ObjectKind.SERVER: 4_096,
 }
-"""Every body is held by every instance and kept in histories, so each is bounded; a roster names
-thousands of instances, and a packed routing document the target's 200,000 routes."""
+"""Every body is held by every instance and kept in histories, so each is bounded. A roster lists
+thousands of instances, and a packed routing document holds the target's 200,000 routes."""
 
 ROUTE_FORM: Final = "HOST/PREFIX or */PREFIX, the host in lower case and without a port"
 
 REFERENCES: Final = {ObjectKind.SERVICE: "profile", ObjectKind.ROUTE: "service"}
-"""The key of the body that names another object."""
+"""The key in the body whose value names the object that is referred to."""
 
 REFERRED_KINDS: Final = {
     ObjectKind.SERVICE: ObjectKind.PROFILE,
@@ -36,14 +36,14 @@
 
 
 def find_reference(key: ObjectKey, body: str | None) -> ObjectKey | None:
-    """Return the object that a service or route names, or None."""
+    """Return the object that a service or route refers to, or None for other kinds."""
     if body is None or key.kind not in REFERENCES:
         return None
     return ObjectKey(REFERRED_KINDS[key.kind], json.loads(body)[REFERENCES[key.kind]])
 
 
 def check_change(change: Change) -> tuple[Finding, ...]:
-    """Check a change on its own, before it is appended, and return all findings."""
+    """Check a change before it is appended, without the configuration; return all findings."""
     findings = _check_names(change)
     if change.body is None:
         return tuple(findings)
--- a/packages/agreement/src/persimmonusher_agreement/configuration.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration.py
@@ -170,7 +170,7 @@
         revision = Revision(self._store.revision + 1)
         record = Record(key, revision, body, change.change_id, change.operator)
         if key.kind is ObjectKind.SERVER:
-            self._servers.take(record)
+            self._servers.update(record)
         for forgotten in self._store.put(record):
             self._histories.pop(forgotten, None)
 
@@ -234,7 +234,7 @@
         for record in sorted(state.records, key=lambda record: record.revision):
             self._store.put(record)
             if record.key.kind is ObjectKind.SERVER:
-                self._servers.take(record)
+                self._servers.update(record)
             target = find_reference(record.key, record.body)
             if target is not None:
                 self._referrers.setdefault(target, set()).add(record.key)
--- a/packages/agreement/src/persimmonusher_agreement/exchanges.py
+++ b/packages/agreement/src/persimmonusher_agreement/exchanges.py
@@ -1,4 +1,4 @@
-"""When this instance exchanges records with others, and how it answers their exchanges."""
+"""Anti-entropy exchanges: when this instance starts one, and how it answers those of others."""
 
 from collections.abc import Sequence
 from random import Random
@@ -24,11 +24,11 @@
 from persimmonusher_agreement.record import Record
 from persimmonusher_agreement.record_store import RecordStore
 
-MANY_REPAIRS: Final = 5
-"""Records in one answer from which on this instance takes itself to be behind the others."""
-REPAIR_SENDS: Final = 3
-FEW_WANTED: Final = 16
-"""Hashes that fit a datagram beside `REPAIR_BYTES` of records."""
+BEHIND_REPAIR_COUNT: Final = 5
+"""Records in one answer from which on this instance considers itself behind the others."""
+REPAIR_TRANSMISSIONS: Final = 3
+MAX_WANTED_WITH_RECORDS: Final = 16
+"""Key hashes that fit a datagram beside `REPAIR_BYTES` of records."""
 
 
 class Exchanges:
@@ -66,12 +66,12 @@
         self._unsettled_start = active + self._limits.unsettled_sync_interval
         self._outbox.send(Outgoing(peer, None, self._steps.start()))
 
-    def note_change(self, active: float) -> None:
-        """Note that our own records changed."""
+    def record_change(self, active: float) -> None:
+        """Record the time of a change of our own records."""
         self._changed_at = active
 
     def catch_up(self, active: float) -> None:
-        """Go on with another peer when the last exchange brought many records."""
+        """Start another exchange, with a random peer, if the last one brought many records."""
         peers = self._table.list_peers()
         if not self._is_behind or not peers or active < self._next_start:
             return
@@ -81,21 +81,21 @@
         self._outbox.send(Outgoing(peer.peer_address, peer.instance_id, self._steps.start()))
 
     def count_sends(self, envelope: Envelope) -> int | None:
-        """Return how often news of this envelope is passed on; None for the usual.
+        """Return how often new records of this envelope are sent on; None for the usual number.
 
-        Load: an instance that joins learns up to 112,500 records by exchanges. Harm: passing each
+        Load: an instance that joins learns up to 112,500 records by exchanges. Harm: sending each
         on ten times costs more than the fleet's changes of a day, and its own exchanges wait for
-        the budget. Limit: single repairs are passed on a little, for the case that rumours don't
-        get through, and many at once not at all.
+        the budget. Limit: a few repaired records are sent on a few times, in case rumours don't get
+        through; many at once aren't sent on at all.
         """
         if not isinstance(envelope.body, Repair):
             return None
-        return REPAIR_SENDS if len(envelope.updates) < MANY_REPAIRS else 0
+        return REPAIR_TRANSMISSIONS if len(envelope.updates) < BEHIND_REPAIR_COUNT else 0
 
     def repair(self, peer: str, records: Sequence[Record], wanted: tuple[int, ...] = ()) -> None:
-        """Send records to a peer, in a bounded number of pieces."""
+        """Send records, and the key hashes wanted, to a peer in at most `MAX_REPAIRS` pieces."""
         pieces = split_records(records, REPAIR_BYTES)[:MAX_REPAIRS]
-        if len(wanted) > FEW_WANTED or not pieces:
+        if len(wanted) > MAX_WANTED_WITH_RECORDS or not pieces:
             pieces.insert(0, ())
         for place, piece in enumerate(pieces):
             body = Repair(wanted if place == 0 else ())
@@ -103,37 +103,37 @@
                 self._outbox.send(Outgoing(peer, None, body), piece)
 
     def answer_stale(self, stale: Sequence[Record], peer: str) -> None:
-        """Answer records that ours supersede with ours, tombstones included."""
+        """Answer superseded records with our newer ones, tombstones included."""
         held = [self._store.get(record.key_hash) for record in stale]
         self.repair(peer, [record for record in held if record is not None])
 
-    def take_groups(
+    def handle_groups(
         self, message: GroupDigests, envelope: Envelope, source: str, active: float
     ) -> None:
-        """Answer with the digests of the buckets of some groups that differ."""
+        """Answer with the bucket digests of some groups that differ."""
         for answer in self._steps.answer_groups(message):
             self._outbox.send(Outgoing(source, envelope.sender, answer))
 
-    def take_buckets(
+    def handle_buckets(
         self, message: BucketDigests, envelope: Envelope, source: str, active: float
     ) -> None:
         """Answer with summaries of the buckets that differ."""
         for summary in self._steps.answer_buckets(message):
             self._outbox.send(Outgoing(source, envelope.sender, summary))
 
-    def take_summary(
+    def handle_summary(
         self, summary: Summary, envelope: Envelope, source: str, active: float
     ) -> None:
-        """Answer with what the sender lacks, and ask for what we lack, within the budget."""
+        """Send records that the sender lacks and request those we lack, within the budget."""
         if self._outbox.has_budget(active):
             difference = self._steps.answer_summary(summary)
             self.repair(source, difference.records, difference.wanted)
 
-    def take_repair(self, repair: Repair, envelope: Envelope, source: str, active: float) -> None:
-        """Answer what the sender wants; its updates are merged already."""
+    def handle_repair(self, repair: Repair, envelope: Envelope, source: str, active: float) -> None:
+        """Send the records that the sender wants; `receive` has merged its updates already."""
         if repair.wanted:
             self.repair(source, self._steps.answer_wanted(repair.wanted))
-        if len(envelope.updates) >= MANY_REPAIRS:
+        if len(envelope.updates) >= BEHIND_REPAIR_COUNT:
             self._is_behind = True
             soon = active + self._limits.catch_up_interval
             self._next_start = min(self._next_start, soon)
--- a/packages/agreement/src/persimmonusher_agreement/gossip.py
+++ b/packages/agreement/src/persimmonusher_agreement/gossip.py
@@ -1,4 +1,4 @@
-"""Spreading of changes: a queue of rumours, each sent a bounded number of times, under a budget.
+"""Gossip of changes: a queue of rumours, each sent a bounded number of times, within a budget.
 
 Load: at the target size (2,500 instances, 15,400 restarts of instances and as many of backend
 servers a day) about 15,400 x 3 records of members and 15,400 x 4 of servers change a day, which is
@@ -13,22 +13,23 @@
 from persimmonusher_agreement.record import Record
 
 TRANSMISSION_FACTOR: Final = 4.0
-"""Times log10 of the fleet's size. After k sends by each informed instance, a fraction of about
-exp(-k) is left out, which anti-entropy repairs; 14 sends leave 1 in 10^6 at 2,500 instances."""
+"""Sends of a change by one instance, as a multiple of log10 of the fleet's size. After k sends by
+each informed instance, a fraction of about exp(-k) is left out, which anti-entropy repairs; 14
+sends leave out 1 in 10^6 at 2,500 instances."""
 MIN_TRANSMISSIONS: Final = 14
-"""At 48 instances and 20% loss, exp(-14 x 0.8) x 48 leaves one instance out in 0.07% of changes."""
-FLOOD_RUMOURS: Final = 20
-"""Queued changes from which on copies that come in count as sends: two datagrams' worth."""
+"""At 48 instances and 20% loss, exp(-14 x 0.8) x 48: 0.07% of changes miss an instance."""
+FLOOD_QUEUE_LENGTH: Final = 20
+"""Queue length from which on received copies count as sends: the changes of two datagrams."""
 
 
 def count_transmissions(fleet_size: int) -> int:
-    """Return how often one instance passes a change on, in a fleet of this size."""
+    """Return how often one instance sends each change, in a fleet of this size."""
     return max(MIN_TRANSMISSIONS, math.ceil(TRANSMISSION_FACTOR * math.log10(fleet_size + 1)))
 
 
 @dataclass
 class _Rumour:
-    """A change with the number of times that it has been sent and is still to be sent."""
+    """A change, how often it has been sent, and how often it is still to be sent."""
 
     record: Record
     sent: int
@@ -36,7 +37,7 @@
 
 
 class GossipQueue:
-    """The changes that this instance still passes on; at most one for each key."""
+    """The changes that this instance still has to send; at most one for each key."""
 
     def __init__(self) -> None:
         self._rumours: dict[int, _Rumour] = {}
@@ -45,20 +46,20 @@
         return len(self._rumours)
 
     def add(self, record: Record, transmissions: int) -> None:
-        """Queue a change; it takes the place of an older one of the same key."""
+        """Queue a change; it replaces an older one of the same key."""
         self._rumours.pop(record.key_hash, None)
         if transmissions > 0:
             self._rumours[record.key_hash] = _Rumour(record, 0, transmissions)
 
-    def note_duplicate(self, record: Record) -> None:
-        """Count a copy that came from another instance as if it had been sent from here.
+    def count_duplicate(self, record: Record) -> None:
+        """Count a copy received from another instance as a send, if the queue is long.
 
         Load: hundreds of changes at once, as at a cold start. Harm: every instance sends each of
-        them 14 times, most to instances that know it. Limit: what comes in from others shows how
-        far a change has spread. A few changes are not counted so: half as many sends would leave
-        somebody out, at 48 instances and 20% loss, of nine changes in ten.
+        them 14 times, mostly to instances that know it. Limit: the received copies show how far a
+        change has spread. In a short queue copies don't count: at 48 instances and 20% loss, half
+        as many sends would leave out an instance for nine changes in ten.
         """
-        if len(self._rumours) < FLOOD_RUMOURS:
+        if len(self._rumours) < FLOOD_QUEUE_LENGTH:
             return
         self.count_send(record)
 
@@ -69,11 +70,11 @@
             self._count(rumour)
 
     def clear(self) -> None:
-        """Pass nothing on that was learned up to now."""
+        """Remove all queued changes."""
         self._rumours.clear()
 
     def take(self, limit_bytes: int, urgent_only: bool = False) -> tuple[Record, ...]:
-        """Take what fits, urgent and least sent first, and count one transmission of each."""
+        """Return the changes that fit, urgent and least sent first, and count a send of each."""
         taken: list[Record] = []
         room = limit_bytes
         for rumour in sorted(self._rumours.values(), key=_order):
@@ -97,10 +98,10 @@
 
 
 class ByteBudget:
-    """A token bucket of bytes; probes may overdraw it, rumours and exchanges wait for it.
+    """A token bucket of bytes; probes and urgent rumours may overdraw it, other messages wait.
 
-    Load: a mass restart queues thousands of changes at once. Harm: without a bound the gossip of
-    all instances takes the links that callers' answers need. Limit: the rate is the share of the
+    Load: a mass restart queues thousands of changes at once. Harm: without a bound, the gossip of
+    all instances fills the links that callers' answers need. Limit: the rate is the share of the
     8 KB/s for control that membership may use; the burst lets a joining instance catch up.
     """
 
@@ -118,5 +119,5 @@
         return self._tokens
 
     def spend(self, size: int) -> None:
-        """Take bytes out, below zero if need be."""
+        """Take bytes out; the balance may become negative."""
         self._tokens -= size
--- a/packages/agreement/src/persimmonusher_agreement/keeper_members.py
+++ b/packages/agreement/src/persimmonusher_agreement/keeper_members.py
@@ -1,8 +1,9 @@
-"""Which change of keepers comes next, decided by the leader one step at a time.
+"""The steps of a change of keepers; the leader proposes them one at a time.
 
-A keeper that returns with an empty disk is another identity of the same instance. It is added as a
-learner; once it has caught up, the lost identity is removed, then the learner becomes a voter.
-Removing first keeps the majority small: the two that are left never need the newcomer's answer.
+A keeper that returns with an empty disk has a new id on the same instance. It is added as a
+learner; once it has caught up, the lost id is removed, then the learner becomes a voter. Removing
+first keeps the majority small: of three keepers, the two that are left never need the answer of the
+new one.
 """
 
 from collections.abc import Mapping, Set
@@ -21,14 +22,14 @@
 NO_DOMAINS: Final[Mapping[KeeperId, str]] = MappingProxyType({})
 NO_KEEPERS: Final[Set[KeeperId]] = frozenset()
 SILENT_SECONDS: Final = 3.0
-"""After this a voter that doesn't answer is replaced, where a learner has caught up. Longer than an
-election and a restart, so that a keeper that is merely started again keeps its place."""
+"""A voter that doesn't answer for longer is replaced, once a learner has caught up. Longer than an
+election and a restart, so that a keeper that merely restarts stays a voter."""
 
 
 def form_members(
     lineage: str, keepers: dict[KeeperId, str], domains: Mapping[KeeperId, str] = NO_DOMAINS
 ) -> Members:
-    """Make the first members of a new log, all voters, from identities and addresses."""
+    """Return the first members of a new log, all voters, from the keepers' ids and addresses."""
     members = (
         Member(keeper, keepers[keeper], MemberRole.VOTER, failure_domain=domains.get(keeper, ""))
         for keeper in sorted(keepers)
@@ -39,10 +40,10 @@
 def add_learner(
     members: Members, keeper: KeeperId, address: str, promote: bool, domain: str = ""
 ) -> Members | None:
-    """Add a keeper that asks to join as a learner, or return None when it is a member already.
+    """Add a keeper that asks to join as a learner, or return None if it is a member already.
 
-    An earlier learner of the same instance goes: its disk is the one that was lost. The learner is
-    promoted when it stands in for a voter of the same instance, or for one that did.
+    An earlier learner of the same instance is removed: its disk was lost. The new learner is to be
+    promoted if it replaces a voter of the same instance, or a learner that was to be promoted.
     """
     if members.find(keeper) is not None:
         return None
@@ -59,7 +60,7 @@
 
 
 def remove_keeper(members: Members, keeper: KeeperId) -> Members | None:
-    """Remove one identity, or return None when it is no member or the last voter."""
+    """Remove a keeper, or return None if it isn't a member or is the last voter."""
     kept = tuple(member for member in members.members if member.keeper != keeper)
     if len(kept) == len(members.members):
         return None
@@ -74,10 +75,10 @@
     silent: Set[KeeperId] = NO_KEEPERS,
     wanted: int | None = None,
 ) -> Members | None:
-    """Return the next step for learners that have caught up, or None when there is none.
+    """Return the next step to promote a learner that has caught up, or None if there is none.
 
-    `wanted` is the number of voters to have; None takes every learner that asks. With all voters
-    there, a learner takes the place of one that is silent, and otherwise waits.
+    `wanted` is the number of voters to have; None promotes every learner that asks. If there are
+    that many voters, a learner replaces one that is silent, and otherwise waits.
     """
     for member in members.members:
         if member.role is MemberRole.LEARNER and member.promote and member.keeper in caught_up:
@@ -90,10 +91,10 @@
 def _plan_place(
     members: Members, learner: Member, silent: Set[KeeperId], wanted: int | None
 ) -> Members | None:
-    """Return the step that gives a learner a voter's place, or None where none is free.
+    """Return the step to make a learner a voter or to remove a silent voter for it, or None.
 
-    Guards against a fleet that shrinks: a voter that is slow, frozen or cut off is removed only
-    when a learner that holds everything stands ready, and one voter at a time.
+    Guards against losing voters without replacement: a voter that is slow, frozen or cut off is
+    removed only when a learner has caught up, and one voter at a time.
     """
     voters = members.list_voters()
     if wanted is None or len(voters) < wanted:
--- a/packages/agreement/src/persimmonusher_agreement/member_record.py
+++ b/packages/agreement/src/persimmonusher_agreement/member_record.py
@@ -1,4 +1,4 @@
-"""An instance of the system as membership knows it."""
+"""The replicated record of an instance."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -8,18 +8,18 @@
 from persimmonusher_model.identifiers import FailureDomain, InstanceId
 
 FIXED_BYTES: Final = 24
-"""Incarnation, state and the wrapping of one update."""
+"""Incarnation, state and encoding overhead of one update."""
 
 
 class MemberState(IntEnum):
-    """What the fleet believes of an instance; a higher one wins within one incarnation."""
+    """An instance's state as the fleet sees it; within one incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
-    """Unanswered probes; it takes part as before until the suspicion times out."""
+    """It didn't answer probes; it still counts as live until the suspicion times out."""
     DEAD = 2
     LEFT = 3
-    """It said itself that it leaves."""
+    """It announced that it leaves."""
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
     peer_address: str
     roles: tuple[str, ...]
     incarnation: int
-    """Starts from the time of the process's start, so a restart supersedes its earlier life."""
+    """Begins at the time of the process's start, so a restart supersedes the former process."""
     state: MemberState
 
     @property
@@ -46,27 +46,27 @@
 
     @property
     def is_tombstone(self) -> bool:
-        """Tell whether the instance is dead or has left."""
+        """Return whether the instance is dead or has left."""
         return self.state >= MemberState.DEAD
 
     @property
     def is_urgent(self) -> bool:
-        """Let suspicions and refutations go first: a refutation that waits costs a live instance.
+        """Return True: a refutation that waits could get a live instance declared dead.
 
         A refutation is an ALIVE record, so all records of members are urgent.
         """
         return True
 
     def describe(self) -> str:
-        """Return what replicas must agree on.
+        """Return all that replicas must agree on, as one string.
 
-        Suspicion is left out: it is short-lived, and digests that differed for each suspicion
-        would set off an exchange at every probe.
+        The state is left out: suspicions are short-lived, and digests that differed for each
+        suspicion would start an exchange at every probe.
         """
         roles = ",".join(self.roles)
         return f"{self.key}|{self.failure_domain}|{self.peer_address}|{roles}|{self.incarnation}"
 
     def count_bytes(self) -> int:
-        """Return an upper bound of the encoded bytes."""
+        """Return an upper bound of the record's bytes as encoded."""
         texts = (self.instance_id, self.failure_domain, self.peer_address, *self.roles)
         return FIXED_BYTES + sum(len(text.encode()) + FIELD_OVERHEAD_BYTES for text in texts)
--- a/packages/agreement/src/persimmonusher_agreement/membership_messages.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances about membership and the directory, and what they lead to."""
+"""Messages between instances about membership and the directory, and the resulting effects."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Ack:
-    """Answer a probe; `subject` is the instance shown alive, not always the sender."""
+    """Answer a probe; `subject` is the instance that is alive, which may not be the sender."""
 
     sequence: int
     subject: InstanceId
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Summary:
-    """List hash and fingerprint of every live record in the buckets; no bucket means all."""
+    """List key hash and fingerprint of every live record in the buckets; no bucket means all."""
 
     buckets: tuple[int, ...]
     keys: tuple[int, ...]
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True)
 class Repair:
-    """Carry records that the receiver lacked, and ask by hash for those that the sender lacks."""
+    """Carry records that the receiver lacks, and request those that the sender lacks, by hash."""
 
     wanted: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """Pass a backend server's announcement on to one of its watchers."""
+    """Forward a backend server's announcement to one of the server's watchers."""
 
     server_id: ServerId
     boot_id: int
@@ -105,8 +105,8 @@
     heard: bool
     """The sender has heard the server within the timeout."""
     age_milliseconds: int = 0
-    """How long ago it was heard. Were it left out, two watchers would take each other's answers for
-    signs of life, and a server that is gone would be lost never."""
+    """How long ago it was heard. Without it, two watchers would take each other's answers for new
+    signs of life, and a server that is gone would never be declared lost."""
 
 
 Body: TypeAlias = (
@@ -127,13 +127,13 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """One datagram: who sends it, what it knows, a body, and piggybacked updates."""
+    """One datagram: its sender with revision and digest, a body, and piggybacked updates."""
 
     sender: InstanceId
     revision: Revision
     """The configuration revision in force at the sender."""
     digest: int
-    """Of the sender's members and servers; 64 bits."""
+    """Digest of the sender's records of members and servers; 64 bits."""
     body: Body
     updates: tuple[Record, ...] = ()
 
@@ -161,14 +161,14 @@
 
 @dataclass(frozen=True)
 class ServersChanged:
-    """What the data plane sees of a service's servers changed."""
+    """The servers of a service changed, as far as the data plane uses them."""
 
     service: ServiceName
 
 
 @dataclass(frozen=True)
 class PathCut:
-    """An instance answers through others, but not directly: a cut, maybe one-way."""
+    """An instance answers through helpers but not directly: its path is cut, maybe one way only."""
 
     instance: InstanceId
 
--- a/packages/agreement/src/persimmonusher_agreement/outbox.py
+++ b/packages/agreement/src/persimmonusher_agreement/outbox.py
@@ -1,4 +1,4 @@
-"""What one step of membership leads to, and the envelopes that carry its messages."""
+"""The effects of one step of membership, and the envelopes of its messages."""
 
 from random import Random
 from typing import Final
@@ -25,14 +25,15 @@
 """Headers of IP and UDP (28), tag (16), sender, revision, digest and a small body, as encoded."""
 UPDATES_BYTES: Final = 1100
 """Room for updates in a datagram of 1,400 bytes."""
-RUMOUR_RESERVE: Final = 0.25
-"""Of the burst, left to exchanges: under a flood of rumours they repair more for fewer bytes."""
-SMALL_BODIES: Final = (Ping, Ack)
+EXCHANGE_RESERVE_SHARE: Final = 0.25
+"""Share of the burst reserved for exchanges: in a flood of rumours they repair more with fewer
+bytes."""
+PIGGYBACKING_BODIES: Final = (Ping, Ack)
 """Bodies that leave room for piggybacked updates."""
 
 
 class Outbox:
-    """Collects effects; wraps each message with what its receiver should learn on the way."""
+    """Collects effects, and wraps each message in an envelope with updates for its receiver."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         """The configuration revision in force here."""
 
     def add(self, effect: Effect) -> None:
-        """Add an effect that is no message."""
+        """Add an effect other than a message."""
         self._effects.append(effect)
 
     def drain(self) -> list[Effect]:
@@ -63,13 +64,13 @@
         return effects
 
     def has_budget(self, active: float) -> bool:
-        """Tell whether rumours and exchanges may be sent now."""
+        """Return whether exchanges may be sent now."""
         return self._budget.available(active) > 0
 
     def send(self, outgoing: Outgoing, updates: tuple[Record, ...] = ()) -> None:
-        """Send a message with the given updates and, where there is room, queued ones."""
-        urgent = (*self._tell_subject(outgoing), *updates)
-        if isinstance(outgoing.body, SMALL_BODIES):
+        """Send a message with the given updates and, if it is small, queued ones that fit."""
+        urgent = (*self._list_subject_records(outgoing), *updates)
+        if isinstance(outgoing.body, PIGGYBACKING_BODIES):
             room = UPDATES_BYTES - sum(record.size for record in urgent)
             urgent = (*urgent, *self._queue.take(room))
         self._budget.spend(HEADER_BYTES + sum(record.size for record in urgent))
@@ -82,7 +83,7 @@
         """Send queued rumours to a few random peers; only urgent ones when the budget is short."""
         if not len(self._queue):
             return
-        short = self._is_short(active)
+        short = self._is_budget_short(active)
         for peer in self._choose_peers():
             records = self._queue.take(UPDATES_BYTES, urgent_only=short)
             if records:
@@ -90,25 +91,26 @@
 
     def push(self, record: Record, active: float) -> None:
         """Send one change to a few random peers at once, before its turn in the queue."""
-        if self._is_short(active) and not record.is_urgent:
+        if self._is_budget_short(active) and not record.is_urgent:
             return
         for peer in self._choose_peers():
             self.send(Outgoing(peer.peer_address, peer.instance_id, Rumour()), (record,))
             self._queue.count_send(record)
 
-    def _is_short(self, active: float) -> bool:
-        return self._budget.available(active) < self._limits.budget_burst * RUMOUR_RESERVE
+    def _is_budget_short(self, active: float) -> bool:
+        return self._budget.available(active) < self._limits.budget_burst * EXCHANGE_RESERVE_SHARE
 
     def _choose_peers(self) -> list[MemberRecord]:
         peers = self._table.list_peers()
         return self._random.sample(peers, min(self._limits.gossip_fanout, len(peers)))
 
-    def _tell_subject(self, outgoing: Outgoing) -> tuple[Record, ...]:
-        """Tell an instance first that it is suspected or held for dead, so that it can refute.
+    def _list_subject_records(self, outgoing: Outgoing) -> tuple[Record, ...]:
+        """Return what a message must carry about its receiver, if it is suspected or declared dead.
 
-        Failure: an instance was declared dead behind a cut, and after the healing it hears of it
-        only by chance. It shows as a live instance that some leave out for long. Each message to
-        it carries the record, so the first one that arrives sets off the refutation.
+        Failure: an instance was declared dead while it was cut off, and after the cut has healed it
+        learns of that only by chance. Then some instances treat a live instance as gone for long.
+        Each message to it carries its record, so the first one that arrives triggers the
+        refutation. A join carries our own record, to introduce this instance.
         """
         if isinstance(outgoing.body, Join):
             return (self._table.own,)
--- a/packages/agreement/src/persimmonusher_agreement/probing.py
+++ b/packages/agreement/src/persimmonusher_agreement/probing.py
@@ -1,9 +1,9 @@
 """Failure detection by probes: direct first, then through instances in other failure domains.
 
-Failure: the path between two instances is cut, often one way only, and the one at its end would
-take the other for dead. It shows as missing answers to direct probes while others still get theirs.
-The guard holds because a suspicion needs the direct path and three others, over different failure
-domains, to fail in the same round.
+Failure: the path between two instances is cut, often one way only, and one would declare the other
+dead. Its direct probes stay unanswered, while other instances still get answers. So a suspicion
+needs the direct path and the paths through three helpers, in different failure domains if possible,
+to fail in the same round.
 """
 
 from dataclasses import dataclass, field
@@ -24,12 +24,12 @@
 from persimmonusher_model.identifiers import InstanceId
 
 MAX_RELAYS: Final = 256
-"""Probes on others' behalf at a time; each lives for one probe interval."""
+"""Probes for other instances at a time; each expires after one probe interval."""
 
 
 @dataclass(frozen=True)
 class Outgoing:
-    """A message for one address; the instance is None where it isn't known yet."""
+    """A message for one address; the instance is None if it isn't known."""
 
     address: str
     instance: InstanceId | None
@@ -38,7 +38,7 @@
 
 @dataclass
 class ProbeStep:
-    """What a step of probing leads to."""
+    """The result of a step: messages to send, an instance to suspect, a change of a path."""
 
     outgoing: list[Outgoing] = field(default_factory=list)
     suspected: InstanceId | None = None
@@ -52,7 +52,7 @@
     target: MemberRecord
     sequence: int
     started: float
-    asked_others: bool = False
+    has_asked_helpers: bool = False
     direct: bool = False
     indirect: bool = False
 
@@ -67,7 +67,7 @@
 
 
 class Prober:
-    """Probes one instance an interval, each in turn in a shuffled order."""
+    """Probes one instance in each interval, all of them in turn, in a shuffled order."""
 
     def __init__(self, table: MemberTable, limits: MembershipLimits, random: Random) -> None:
         self._table = table
@@ -79,44 +79,44 @@
         self._next_round = 0.0
         self._relays: dict[int, _Relay] = {}
         self._indirect_rounds: dict[InstanceId, int] = {}
-        self._last_answer = -limits.unheard_seconds
+        self._last_answer = -limits.unanswered_seconds
 
     @property
     def cut_paths(self) -> frozenset[InstanceId]:
-        """Return the instances that answer through others only."""
+        """Return the instances that answered only through helpers, `cut_rounds` rounds in a row."""
         limit = self._limits.cut_rounds
         return frozenset(name for name, count in self._indirect_rounds.items() if count >= limit)
 
     def is_answered(self, active: float) -> bool:
-        """Tell whether any probe of the last few intervals was answered."""
-        return active - self._last_answer < self._limits.unheard_seconds
+        """Return whether a probe was answered within `unanswered_seconds`."""
+        return active - self._last_answer < self._limits.unanswered_seconds
 
     def next_sequence(self) -> int:
-        """Return a number that no earlier message of this instance carried."""
+        """Return a sequence number that no earlier message of this instance carried."""
         self._sequence += 1
         return self._sequence
 
     def tick(self, active: float) -> ProbeStep:
-        """Go on with the running round, or end it and start the next."""
+        """Continue the running round, or end it and start the next."""
         if active >= self._next_round:
             step = self._end_round()
             self._start_round(active, step)
             return step
         step = ProbeStep()
         running = self._round
-        if running is None or running.asked_others or running.direct:
+        if running is None or running.has_asked_helpers or running.direct:
             return step
         if active - running.started >= self._limits.direct_timeout:
-            running.asked_others = True
-            step.outgoing = self._ask_others(running)
+            running.has_asked_helpers = True
+            step.outgoing = self._ask_helpers(running)
         return step
 
     def abandon_round(self) -> None:
-        """Forget the running probe: after a pause, its answers may wait in the socket."""
+        """Abandon the running round: after a pause, its answers may still wait in the socket."""
         self._round = None
 
-    def take_request(self, request: PingRequest, source: str, active: float) -> list[Outgoing]:
-        """Probe the target for another instance; over the limit, the request is dropped."""
+    def handle_request(self, request: PingRequest, source: str, active: float) -> list[Outgoing]:
+        """Probe the target for another instance; drop the request over `MAX_RELAYS`."""
         expired = active - self._limits.probe_interval
         self._relays = {
             sequence: relay for sequence, relay in self._relays.items() if relay.started > expired
@@ -127,7 +127,7 @@
         self._relays[sequence] = _Relay(source, request.sequence, active)
         return [Outgoing(request.target_address, request.target, Ping(sequence))]
 
-    def take_ack(self, ack: Ack, sender: InstanceId, active: float) -> list[Outgoing]:
+    def handle_ack(self, ack: Ack, sender: InstanceId, active: float) -> list[Outgoing]:
         """Count an answer, or relay it to the instance that asked for the probe."""
         relay = self._relays.pop(ack.sequence, None)
         if relay is not None:
@@ -164,8 +164,8 @@
             if target is not None:
                 return target
 
-    def _ask_others(self, running: _Round) -> list[Outgoing]:
-        """Probe again, and ask helpers to: at 20% loss the second ping saves most rounds."""
+    def _ask_helpers(self, running: _Round) -> list[Outgoing]:
+        """Probe again, and ask helpers to probe: at 20% loss the second ping saves most rounds."""
         target = running.target
         ping = Ping(running.sequence)
         request = PingRequest(running.sequence, target.instance_id, target.peer_address)
@@ -176,7 +176,10 @@
         return [Outgoing(target.peer_address, target.instance_id, ping), *helpers]
 
     def _choose_helpers(self, target: MemberRecord) -> list[MemberRecord]:
-        """Choose helpers at random, one from each failure domain first, our own domain last."""
+        """Choose helpers at random, spread over failure domains; our own domain comes late.
+
+        The first helper of each other domain comes first; our own domain counts as used once.
+        """
         peers = self._table.list_peers()
         sample = self._random.sample(peers, min(len(peers), 8 * self._limits.probe_helpers))
         others = [peer for peer in sample if peer.instance_id != target.instance_id]
--- a/packages/agreement/src/persimmonusher_agreement/record.py
+++ b/packages/agreement/src/persimmonusher_agreement/record.py
@@ -1,4 +1,4 @@
-"""What every replicated record has in common: a key, a version that orders, and a fingerprint."""
+"""The common base of replicated records: a key, a version that orders them, and a fingerprint."""
 
 from abc import ABC, abstractmethod
 from functools import cached_property
@@ -11,31 +11,31 @@
 
 
 class Record(ABC):
-    """One replicated fact. Of two records with one key, the one with the higher version stays.
+    """A replicated record. Of two records with one key, the one with the higher version is kept.
 
-    Replicas that merge the same records in any order, any number of times, end up equal, which is
-    what makes loss, duplicates and reordering of gossip harmless.
+    Replicas that merge the same records in any order, any number of times, end up equal. That makes
+    loss, duplicates and reordering of gossip harmless.
     """
 
     @property
     @abstractmethod
     def key(self) -> str:
-        """Return what the record is about, unique over all kinds of records."""
+        """Return the key of the record's subject, unique over all kinds of records."""
 
     @property
     @abstractmethod
     def version(self) -> tuple[int, int, int, int]:
-        """Return what orders the records of one key."""
+        """Return the version, which orders the records of one key."""
 
     @property
     @abstractmethod
     def is_tombstone(self) -> bool:
-        """Tell whether the subject is gone; tombstones expire and are left out of digests."""
+        """Return whether the subject is gone; tombstones expire and are left out of digests."""
 
     @property
     @abstractmethod
     def is_urgent(self) -> bool:
-        """Tell whether the record goes before others when the byte budget is short."""
+        """Return whether the record is sent before others when the byte budget is short."""
 
     @abstractmethod
     def describe(self) -> str:
@@ -47,18 +47,18 @@
 
     @cached_property
     def size(self) -> int:
-        """Return what `count_bytes` does, counted once."""
+        """Return the cached result of `count_bytes`."""
         return self.count_bytes()
 
     def supersedes(self, other: "Record | None") -> bool:
-        """Tell whether this record is newer than another of the same key."""
+        """Return whether this record is newer than another of the same key; None is oldest."""
         return other is None or self.version > other.version
 
     @cached_property
     def key_hash(self) -> int:
-        """Return the 64-bit hash that stands for the key in stores and summaries.
+        """Return the 64-bit hash that replaces the key in stores and summaries.
 
-        Two keys in 112,500 share a hash with a probability of 3 in 10^10.
+        Among 112,500 keys, two share a hash with a probability of 3 in 10^10.
         """
         return hash_key(self.key)
 
--- a/packages/agreement/src/persimmonusher_agreement/record_store.py
+++ b/packages/agreement/src/persimmonusher_agreement/record_store.py
@@ -1,7 +1,7 @@
 """The replicated records of one instance, with digests that show where two instances differ.
 
-Live records fall into 64 groups of 64 buckets by the hash of their key; a digest is the exclusive
-or of its records' fingerprints, so it is kept up to date in constant time. At the target size
+Live records are in 64 groups of 64 buckets by the hash of their key; a digest is the exclusive or
+of its records' fingerprints, so it is updated in constant time. At the target size
 (110,000 servers, 2,500 instances) a bucket holds 27 records: 64 digests of groups, 64 of buckets
 and one bucket's summary of 430 bytes find a single difference in about 1.5 KB.
 """
@@ -17,7 +17,7 @@
 
 
 class RecordStore:
-    """Records by the hash of their key; one is replaced only by one with a higher version."""
+    """Records by the hash of their key; a record is replaced only by one of a higher version."""
 
     def __init__(self) -> None:
         self._records: dict[int, Record] = {}
@@ -26,40 +26,40 @@
         self._group_digests = [0] * GROUPS
         self._live_count = 0
         self.digest = 0
-        """Of all live records; 64 bits, equal wherever the same records are live."""
+        """Digest of all live records: 64 bits, equal in stores with the same live records."""
 
     def __len__(self) -> int:
         return len(self._records)
 
     @property
     def live_count(self) -> int:
-        """Return the number of records that are no tombstones."""
+        """Return the number of records that aren't tombstones."""
         return self._live_count
 
     def get(self, key_hash: int) -> Record | None:
-        """Return the record whose key has this hash, a tombstone included."""
+        """Return the record whose key has this hash, which may be a tombstone."""
         return self._records.get(key_hash)
 
     def values(self) -> Iterator[Record]:
-        """Go through all records, tombstones included."""
+        """Iterate over all records, tombstones included, as of the call."""
         return iter(list(self._records.values()))
 
     def put(self, record: Record) -> bool:
-        """Keep the record if it supersedes the one held; tell whether it did."""
+        """Store the record if it supersedes the one held; return whether it did."""
         held = self._records.get(record.key_hash)
         if not record.supersedes(held):
             return False
         if held is not None:
-            self._count_out(held)
+            self._unindex_record(held)
         self._records[record.key_hash] = record
-        self._count_in(record)
+        self._index_record(record)
         return True
 
     def remove(self, record: Record) -> None:
-        """Forget the record of this key."""
+        """Remove the record with this record's key, whatever its version."""
         held = self._records.pop(record.key_hash, None)
         if held is not None:
-            self._count_out(held)
+            self._unindex_record(held)
 
     def list_groups(self) -> tuple[int, ...]:
         """Return the digest of each group."""
@@ -77,15 +77,15 @@
             return [record for records in self._live.values() for record in records]
         return [record for bucket in chosen for record in self._live.get(bucket, ())]
 
-    def _count_in(self, record: Record) -> None:
+    def _index_record(self, record: Record) -> None:
         if record.is_tombstone:
             return
         bucket = record.key_hash % BUCKETS
         self._live[bucket] = (*self._live.get(bucket, ()), record)
         self._live_count += 1
-        self._mix(bucket, record.fingerprint)
+        self._toggle_digest(bucket, record.fingerprint)
 
-    def _count_out(self, record: Record) -> None:
+    def _unindex_record(self, record: Record) -> None:
         if record.is_tombstone:
             return
         bucket = record.key_hash % BUCKETS
@@ -95,9 +95,9 @@
         else:
             del self._live[bucket]
         self._live_count -= 1
-        self._mix(bucket, record.fingerprint)
+        self._toggle_digest(bucket, record.fingerprint)
 
-    def _mix(self, bucket: int, fingerprint: int) -> None:
+    def _toggle_digest(self, bucket: int, fingerprint: int) -> None:
         self._bucket_digests[bucket] ^= fingerprint
         self._group_digests[bucket // BUCKETS_IN_GROUP] ^= fingerprint
         self.digest ^= fingerprint
--- a/packages/agreement/src/persimmonusher_agreement/register.py
+++ b/packages/agreement/src/persimmonusher_agreement/register.py
@@ -1,10 +1,11 @@
 """One instance's memory of claims: write-once registers with expiry.
 
-A register that restarts has lost what it granted. Were it to grant again, a key could be
-dispatched twice, so it abstains for a key until three of the key's four other registers have told
-it their records: a majority with this register held two of those four, so three of four hold at
-least one record of it. It trusts itself at once only where nothing can have been lost: under the
-boot that the roster lists, or once it has been up for longer than any key window.
+A register that restarts has lost its records. If it granted again at once, a request could be
+dispatched twice. So it abstains for a key until three of the key's four other registers have sent
+it their records: a majority that included this register included two of those four, so any three
+of the four hold at least one record of the claim. It grants without reading peers only if nothing
+can be missing: if it runs with the boot that the roster lists, or has been up for longer than any
+key window.
 """
 
 import heapq
@@ -26,14 +27,14 @@
 
 RELEASED_TOKEN_SECONDS: Final = 60.0
 """Time for which a released token is refused, so that its claim arriving late, after its release,
-can't hold the key until the window ends. Longer than any claim is under way."""
+can't hold the key until the window ends. Longer than any claim is in transit."""
 MAX_RECORDS: Final = 200_000
-"""Records held at most: at about 600 bytes each, 120 MB of the 256 MB for control. When full, the
-register abstains rather than forget a record, which could let a request run twice."""
+"""Keys held at most: at about 600 bytes each, 120 MB of the 256 MB for control. When full, the
+register abstains rather than evict a record, which could let a request run twice."""
 
 
 class _Entry:
-    """A record with its times in this register's monotonic seconds."""
+    """A record with its deadlines on this register's monotonic clock."""
 
     __slots__ = ("expires", "granted_here", "pending_until", "record")
 
@@ -44,10 +45,10 @@
         self.pending_until = now + record.pending_for
 
     def export(self, now: float) -> ClaimRecord:
-        """Return the record as of now."""
+        """Return the record with its state and remaining times at `now`."""
         state = self.record.state
         if state is RecordState.PENDING and now >= self.pending_until:
-            # The claimant crashed, froze or was cut off: nobody will tell how the request ended.
+            # The claimant crashed, froze or was cut off: no report of the request's end will come.
             state = RecordState.UNKNOWN
         return replace(
             self.record,
@@ -58,10 +59,10 @@
 
 
 class Register:
-    """Holds the claims of the keys that rendezvous hashing gives to this instance.
+    """Holds the claims of the keys that rendezvous hashing assigns to this instance.
 
     A key normally has one record. It can have more only after a restart, when peers report
-    different tokens; each is kept, since any of them may hold this register's lost vote.
+    different tokens; each is kept, since any of them may have had this register's lost vote.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         self._newest_version = 0
 
     def replace_roster(self, roster: Roster) -> None:
-        """Take a newer roster; an older one is ignored."""
+        """Replace the roster by a newer one; an older one is ignored."""
         if self._roster is None or roster.version > self._roster.version:
             self._roster = roster
             listed = roster.find_boot(self._instance)
@@ -94,16 +95,16 @@
 
     @property
     def boot(self) -> int:
-        """Return the number of this life; above that of every earlier one it heard of."""
+        """Return the number of this start; above that of every earlier start that it learnt of."""
         return self._boot
 
     @property
     def record_count(self) -> int:
-        """Return how many keys are held."""
+        """Return the number of keys with a record."""
         return len(self._entries)
 
     def claim(self, request: ClaimRequest, now: float) -> Vote:
-        """Grant the key if it is free, else show who holds it."""
+        """Grant the key if it is free, else return the record that holds it; may also abstain."""
         self._expire(now)
         if self._roster is None or request.roster_version > self._roster.version:
             return self._vote(VoteKind.ABSTAINED, request.key)
@@ -117,14 +118,14 @@
         if own is not None and own.granted_here:
             return self._vote(VoteKind.GRANTED, request.key)
         if not self._may_grant(request, now):
-            # Also when a peer has reported this very token: the peers that are still to be read
-            # may report another one, which this register granted before it restarted.
+            # Abstain even if a peer has reported this very token: the peers that are still to be
+            # read may report another one, which this register granted before it restarted.
             return self._vote(VoteKind.ABSTAINED, request.key)
         self._keep(_make_record(request), now, granted_here=True)
         return self._vote(VoteKind.GRANTED, request.key)
 
     def settle(self, settlement: Settlement, now: float) -> None:
-        """Record the end of a request, or give its key back when it was not run."""
+        """Record how a request ended, or release its key if it was not run."""
         self._expire(now)
         if settlement.state is None:
             self._released[settlement.token] = now + RELEASED_TOKEN_SECONDS
@@ -136,23 +137,23 @@
         entry.record = replace(entry.record, state=settlement.state, answer=settlement.answer)
 
     def needs_share(self, now: float) -> bool:
-        """Tell whether peers must still be read."""
+        """Return whether records must still be read from peers."""
         return not self.is_whole(now) and bool(self.list_unread())
 
     def list_unread(self) -> tuple[InstanceId, ...]:
-        """List the peers whose records this register hasn't read yet."""
+        """List the peers from which no complete records have been read yet."""
         if self._roster is None:
             return ()
         unread = self._roster.list_instances() - self._answered - {self._instance}
         return tuple(sorted(unread))
 
     def make_share_request(self) -> ShareRequest:
-        """Make the message that reads a peer's records."""
+        """Return the message that requests a peer's records."""
         version = self._roster.version if self._roster else 0
         return ShareRequest(self._instance, self._boot, version)
 
     def export_share(self, request: ShareRequest, now: float) -> ShareAnswer:
-        """Give a restarted register the records that it shares with this one."""
+        """Return the records of the keys that a restarted register shares with this one."""
         self._expire(now)
         newest = max(request.boot, self._peer_boots.get(request.register, 0))
         self._peer_boots[request.register] = newest
@@ -168,7 +169,7 @@
         return ShareAnswer(self._instance, trusted, version, records, boots)
 
     def import_share(self, answer: ShareAnswer, now: float) -> None:
-        """Take a peer's records; only a peer with whole memory counts as read."""
+        """Store a peer's records; only a trusted answer counts the peer as read."""
         for record in answer.records:
             held = self._entries.get(record.key, {}).get(record.token)
             if held is None or record.state is RecordState.FINISHED:
@@ -182,11 +183,11 @@
             self._answered.add(answer.register)
 
     def is_whole(self, now: float) -> bool:
-        """Tell whether nothing that this register granted can be missing for any key."""
+        """Return whether no record that this register granted can be missing, for any key."""
         if now - self._started > self._longest_window:
             return True
         if self._roster is None or self._roster.version < self._newest_version:
-            # A peer is ahead: claims under its roster may rely on what was granted here.
+            # A peer has a newer roster: claims under it may rely on grants of this register.
             return False
         if self._roster.find_boot(self._instance) == self._boot:
             return True
@@ -199,11 +200,12 @@
         return self.is_whole(now) or self._has_read_enough(request.key)
 
     def _raise_boot(self, known: int) -> None:
-        """Begin anew above a boot that peers know.
+        """Raise the own boot above one that peers know, and read the peers again.
 
-        The failure: the wall clock went back over a restart, so this life's number is below an
-        earlier one's; votes of the earlier life would look like the newer ones and still count.
-        Every life reads three of four peers before it grants, so the next one hears its number.
+        Failure: the wall clock went back over a restart, so the number of this start is below that
+        of an earlier one; votes of the earlier start would look newer and still count. After each
+        start a register reads three of four peers before it grants, so it learns the earlier
+        number.
         """
         self._boot = known + 1
         self._answered.clear()
@@ -218,8 +220,8 @@
         return True
 
     def _knows_version(self, version: int) -> bool:
-        # A peer that is behind could still grant claims under the older roster after it was read,
-        # which the reader would then never see.
+        # A peer with an older roster could still grant claims under it after it was read, and the
+        # reader would never see those.
         return self._roster is not None and self._roster.version >= version
 
     def _is_register(self, register: InstanceId, key: str) -> bool:
--- a/packages/agreement/src/persimmonusher_agreement/registration.py
+++ b/packages/agreement/src/persimmonusher_agreement/registration.py
@@ -1,8 +1,8 @@
 """Registrations of backend servers as objects of the log.
 
-Only what changes about a server is appended: its start, its state, its address, its end. The beats
-between them stay with the keeper that gets them. So an acknowledged end is held by a majority, as
-every acknowledged change is, and the directory survives the loss of all keepers' processes.
+Only changes of a server are appended: its start, its state, its address, its stop. The heartbeats
+in between stay with the keeper that receives them. So an acknowledged stop is held by a majority,
+as every acknowledged change is, and the directory survives the loss of all keepers' processes.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 
 class RegisteredState(Enum):
-    """What a server was last known to say of itself."""
+    """The state that a server last reported, as far as known."""
 
     STARTING = "starting"
     READY = "ready"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """One server. Freshness is the pair (boot, sequence)."""
+    """The registration of one server. Its freshness is the pair (boot, sequence)."""
 
     server_id: str
     service: str
@@ -37,25 +37,25 @@
     sequence: int
     state: RegisteredState
     cold_seconds: float = 0.0
-    """How much longer the server stays slow, as it said when it registered."""
+    """How much longer the server will be slow after its start, as it reported at registration."""
 
     @property
     def key(self) -> ObjectKey:
-        """Return the name of its object in the log."""
+        """Return the key of the server's object in the log."""
         return ObjectKey(ObjectKind.SERVER, self.server_id)
 
     @property
     def freshness(self) -> tuple[int, int]:
-        """Return what orders two registrations of the same server."""
+        """Return the pair that orders two registrations of the same server."""
         return (self.boot, self.sequence)
 
     def describes_same(self, other: "Registration") -> bool:
-        """Tell whether another registration of the boot says the same but for its sequence."""
+        """Return whether another registration differs at most in sequence and `cold_seconds`."""
         return replace(other, sequence=self.sequence, cold_seconds=self.cold_seconds) == self
 
 
 def encode_registration(server: Registration) -> str:
-    """Return the body of a server's object."""
+    """Return a registration as the body of its object."""
     return json.dumps(
         {
             "service": server.service,
@@ -71,7 +71,7 @@
 
 
 def decode_registration(server_id: str, body: str) -> Registration:
-    """Return the registration in an object's body."""
+    """Return the registration in the body of a server's object."""
     document = json.loads(body)
     return Registration(
         server_id,
@@ -87,7 +87,7 @@
 
 
 def check_registration(server_id: str, document: dict[str, object]) -> list[Finding]:
-    """List what is wrong with a body, before it is appended."""
+    """Check a body before it is appended, and return the findings."""
     try:
         decode_registration(server_id, json.dumps(document))
     except (KeyError, ValueError, TypeError) as error:
@@ -96,10 +96,10 @@
 
 
 def supersedes(new: Registration, known: Registration | None) -> bool:
-    """Tell whether a registration replaces what is known of the server.
+    """Return whether a registration replaces the known one of the server.
 
-    Guards against a beat that was held up by a cut and arrives after its server has left: within
-    one boot the end is final, and an older boot or sequence changes nothing.
+    Guards against a heartbeat that was delayed by a cut and arrives after its server has stopped:
+    within one boot STOPPED is final, and an older boot or sequence has no effect.
     """
     if known is None:
         return True
@@ -111,9 +111,9 @@
 def apply_registration(new: Registration, rivals: Iterable[Registration]) -> list[Registration]:
     """Return the registrations to store for a new one, given the others at its address.
 
-    Guards against an address that was given to another server: of two servers at one address the
-    later boot holds it, and the other has ended, whether or not it ever said so. A late beat of
-    the ended server is stored as stopped, so that a further one changes nothing.
+    Guards against an address that was reassigned to another server: of two servers at one address
+    the one with the later boot has it, and the other has stopped, whether or not it reported so. A
+    late heartbeat of the stopped server is stored as stopped, so that further ones have no effect.
     """
     if new.state is RegisteredState.STOPPED:
         return [new]
--- a/packages/agreement/src/persimmonusher_agreement/routing_record.py
+++ b/packages/agreement/src/persimmonusher_agreement/routing_record.py
@@ -1,8 +1,8 @@
-"""The record of the routing document: the operator's version and own form, packed.
+"""The record of the routing document: the operator's version, and the document as sent, packed.
 
-The form is kept byte for byte, as operators read back what they sent. It is compressed because
-each change carries the whole document to every keeper and entry: routes repeat the same words, and
-pack to a seventh or an eighth (23 bytes a route at 20,000 routes with random names).
+The content is kept byte for byte, so that operators read back what they sent. It is compressed
+because each change carries the whole document to every keeper and entry: routes repeat the same
+words, and compress to a seventh or an eighth (23 bytes a route at 20,000 routes with random names).
 """
 
 import base64
@@ -16,15 +16,15 @@
 from persimmonusher_model.errors import ErrorCode, Finding
 
 DOCUMENT_KEY: Final = ObjectKey(ObjectKind.DOCUMENT, "routing")
-"""There is one routing document in a fleet."""
+"""The key of the fleet's only routing document."""
 
 COMPRESSION_LEVEL: Final = 6
-"""The library's own default: higher ones cost the loop more time for a few percent."""
+"""The library's default: higher levels block the event loop for longer and save a few percent."""
 
 
 @dataclass(frozen=True)
 class RoutingRecord:
-    """A version with the content that it was given."""
+    """A version of the routing document with its content, unpacked."""
 
     version: int
     content: bytes
@@ -37,19 +37,19 @@
 
 
 def read_version(body: str | None) -> int:
-    """Return the version in a record's body; -1, below every version, where there is none."""
+    """Return the version in a record's body; -1, which is below every version, for None."""
     return -1 if body is None else int(json.loads(body)["version"])
 
 
 def unpack_document(body: str) -> RoutingRecord:
-    """Return what a record's body holds."""
+    """Return the version and content in a record's body."""
     document = json.loads(body)
     content = zlib.decompress(base64.b64decode(document["content"]))
     return RoutingRecord(int(document["version"]), content)
 
 
 def check_packed(document: dict[str, object]) -> list[Finding]:
-    """List what is wrong with a body, before it is appended."""
+    """Check a body before it is appended, and return the findings."""
     version, content = document.get("version"), document.get("content")
     if not isinstance(version, int) or isinstance(version, bool) or version < 0:
         return [Finding(ErrorCode.BAD_VALUE, "version", "must be a number from 0 on")]
--- a/packages/agreement/src/persimmonusher_agreement/server_heartbeats.py
+++ b/packages/agreement/src/persimmonusher_agreement/server_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of backend servers, from the entry that gets them to the servers' watchers."""
+"""Heartbeats of backend servers: forwarded from the entries that receive them to the watchers."""
 
 from dataclasses import replace
 
@@ -13,7 +13,7 @@
 
 
 class ServerHeartbeats:
-    """Passes announcements on to watchers, and is one of them for its share of the servers."""
+    """Forwards announcements to watchers, and is itself a watcher of its share of the servers."""
 
     def __init__(self, table: MemberTable, directory: Directory, limits: MembershipLimits) -> None:
         self._table = table
@@ -24,10 +24,10 @@
         self.watch = SilenceWatch(own, directory, self.choice, limits)
 
     def forward(self, record: ServerRecord, active: float) -> list[Outgoing]:
-        """Return the heartbeats for the server's watchers; note it here if we are one.
+        """Return the heartbeats for the server's watchers; record it here if we are a watcher.
 
-        Those of a leaving server all go out, so that its watchers know of the drain even when the
-        entry that was told ends before its rumours arrive.
+        All heartbeats of a leaving server are forwarded, so that its watchers know of the drain
+        even if the entry that received it stops before its rumours arrive.
         """
         self._refresh()
         leaving = record.state >= ServerState.DRAINING
@@ -44,8 +44,8 @@
             outgoing.append(Outgoing(address, name, heartbeat))
         return outgoing
 
-    def take(self, heartbeat: Heartbeat, active: float) -> ServerRecord | None:
-        """Note a heartbeat; return the server's record if its state is news."""
+    def receive(self, heartbeat: Heartbeat, active: float) -> ServerRecord | None:
+        """Record a heartbeat; return the server's new record if the heartbeat changes its state."""
         record = self._directory.find(heartbeat.server_id)
         if record is None or record.boot_id != heartbeat.boot_id:
             return None
@@ -57,14 +57,14 @@
         return replace(record, state=heartbeat.state, sequence=heartbeat.sequence, lost=False)
 
     def learn(self, record: ServerRecord, active: float) -> ServerRecord | None:
-        """Take a changed record for a sign of life; return what contradicts a wrong loss."""
+        """Count a changed record as a sign of life; for a wrong loss, return a newer record."""
         if record.lost:
             return self.watch.find_newer(record, active)
         self.watch.learn(record, active)
         return None
 
     def tick(self, active: float) -> tuple[list[Outgoing], list[ServerRecord]]:
-        """Return the questions to other watchers, and the servers that are lost."""
+        """Return the queries to other watchers, and the records of servers found to be lost."""
         self._refresh()
         step = self.watch.tick(active, self._table.sees_majority)
         outgoing = [
--- a/packages/agreement/src/persimmonusher_agreement/server_index.py
+++ b/packages/agreement/src/persimmonusher_agreement/server_index.py
@@ -1,4 +1,4 @@
-"""Registered servers by address, and those that have ended in the order of their ends."""
+"""Registered servers by address, and stopped servers in the order in which they stopped."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -12,15 +12,16 @@
 )
 
 ENDED_KEPT: Final = 4_096
-"""Ended registrations that are kept, so that a late word of such a server changes nothing. A word
-comes seconds late; at 15,000 restarts a day these are the ends of six hours."""
+"""Stopped registrations that are kept, so that a late registration of such a server has no effect.
+It may come seconds late; at 15,000 restarts a day these are the ones that stopped within six
+hours."""
 
 
 class ServerIndex:
-    """What applying a registration looks up, without reading all registrations for it.
+    """Indexes for applying a registration without reading all registrations.
 
-    A change of one server would otherwise read 110,000 of them; and without an end to what is kept
-    of ended servers, each keeper and entry would hold every server that ever was.
+    Without them, a change of one server would read 110,000 registrations. And without a bound on
+    the stopped servers that are kept, each keeper and entry would hold every server that ever ran.
     """
 
     def __init__(self, ended_kept: int = ENDED_KEPT) -> None:
@@ -29,8 +30,8 @@
         self._by_address: dict[str, set[ObjectKey]] = {}
         self._ended: OrderedDict[ObjectKey, None] = OrderedDict()
 
-    def take(self, record: Record) -> None:
-        """Take a server's latest record; records must come in the order of their revisions."""
+    def update(self, record: Record) -> None:
+        """Index a server's latest record; records must come in the order of their revisions."""
         key = record.key
         self._ended.pop(key, None)
         former = self._live.pop(key, None)
@@ -51,7 +52,7 @@
         return [self._live[key] for key in sorted(keys, key=lambda key: key.name)]
 
     def list_expired(self) -> Iterable[ObjectKey]:
-        """List the ended servers beyond those that are kept, the longest ended first."""
+        """List the stopped servers beyond those that are kept, the longest stopped first."""
         beyond = len(self._ended) - self._ended_kept
         return [key for key, _ in zip(self._ended, range(beyond), strict=False)]
 
--- a/packages/agreement/src/persimmonusher_agreement/server_record.py
+++ b/packages/agreement/src/persimmonusher_agreement/server_record.py
@@ -1,4 +1,4 @@
-"""A backend server as the replicated directory holds it."""
+"""The replicated record of a backend server."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -8,11 +8,11 @@
 from persimmonusher_model.identifiers import FailureDomain, ServerId, ServiceName
 
 FIXED_BYTES: Final = 56
-"""The numbers of one record and the wrapping of one update."""
+"""The numbers of one record and the encoding overhead of one update."""
 
 
 class ServerState(IntEnum):
-    """What a backend server says of itself, in the order of its life."""
+    """The state that a backend server reports, in the order in which it passes through them."""
 
     STARTING = 0
     READY = 1
@@ -25,9 +25,9 @@
     """One announcement of a backend server, or the watchers' finding that it is lost.
 
     The version is (boot_id, sequence, lost, state), so a late, older announcement can't undo a
-    newer one, `lost` supersedes the announcement that it was found at, and any later announcement
-    supersedes `lost`. The state is in it only so that a server which gives one sequence two
-    meanings still leaves all replicas equal.
+    newer one, `lost` supersedes the last announcement before it, and any later announcement
+    supersedes `lost`. The state is part of it only so that all replicas end up equal even if a
+    server announces two states with one sequence.
     """
 
     server_id: ServerId
@@ -40,7 +40,7 @@
     sequence: int
     state: ServerState
     lost: bool = False
-    """Its watchers have heard nothing of it for the heartbeat timeout."""
+    """Its watchers have received no heartbeat of it for the heartbeat timeout."""
 
     @property
     def key(self) -> str:
@@ -49,7 +49,7 @@
 
     @property
     def freshness(self) -> tuple[int, int]:
-        """Return what orders two announcements of the same server."""
+        """Return the pair that orders two announcements of the same server."""
         return (self.boot_id, self.sequence)
 
     @property
@@ -59,26 +59,26 @@
 
     @property
     def is_tombstone(self) -> bool:
-        """Tell whether the server is stopped or lost."""
+        """Return whether the server is stopped or lost."""
         return self.lost or self.state is ServerState.STOPPED
 
     @property
     def is_urgent(self) -> bool:
-        """Let a leaving server's record go first: work sent to it is turned away."""
+        """Return whether the server is leaving or lost: requests to it are refused or get lost."""
         return self.state >= ServerState.DRAINING or self.lost
 
     def describe(self) -> str:
-        """Return what replicas must agree on: every field."""
+        """Return all fields, since replicas must agree on them, as one string."""
         return f"{self.key}|{self.describe_content()}|{self.version}"
 
     def describe_content(self) -> str:
-        """Return what the data plane sees of the server, without the sequence."""
+        """Return all fields except the sequence, as one string: what the data plane uses."""
         return (
             f"{self.service}|{self.address}|{self.failure_domain}|{self.slots}"
             f"|{self.connection_limit}|{self.boot_id}|{int(self.state)}|{self.lost}"
         )
 
     def count_bytes(self) -> int:
-        """Return an upper bound of the encoded bytes."""
+        """Return an upper bound of the record's bytes as encoded."""
         texts = (self.server_id, self.service, self.address, self.failure_domain)
         return FIXED_BYTES + sum(len(text.encode()) + FIELD_OVERHEAD_BYTES for text in texts)
--- a/packages/agreement/src/persimmonusher_agreement/watch.py
+++ b/packages/agreement/src/persimmonusher_agreement/watch.py
@@ -1,17 +1,18 @@
-"""Silent backend servers: when their watchers take them for lost.
+"""Silent backend servers: when their watchers declare them lost.
 
 A server is lost when a majority of its watchers, asked at the same time, have heard nothing of it
-for the timeout, and none has. What this guards against:
+for the timeout, and none has. This guards against:
 
-- A watcher whose incoming path is cut hears no server. Alone it is no majority, and one watcher
-  that hears the server is a veto.
-- A watcher that was paused finds every server silent. Silence counts in active time, so each
+- A watcher whose incoming path is cut hears no server. Alone it isn't a majority, and one watcher
+  that hears the server vetoes the loss.
+- A watcher that was paused finds every server silent. Silence is measured in active time, so each
   server has the whole timeout again to be heard.
-- The smaller side of a cut fleet sees only itself as watchers. Without a majority of the known
-  fleet live, nothing is lost; detection by real work stops sending to servers that don't answer.
+- On the smaller side of a cut fleet, only its own instances are watchers. Unless a majority of the
+  known fleet is live, no server is declared lost; detection by real requests stops sending to
+  servers that don't answer.
 
-That most servers fall silent at once, because the way that announcements take is broken, can't be
-seen by one watcher, which has few servers: `Directory.list_servers` guards against that.
+Most servers may fall silent at once because the path of the announcements is broken. One watcher
+can't see that, as it watches few servers: `Directory.list_servers` guards against it.
 """
 
 from dataclasses import dataclass, field, replace
@@ -25,11 +26,11 @@
 from persimmonusher_model.identifiers import InstanceId, ServerId
 
 HEARTBEATS_IN_TIMEOUT: Final = 5
-"""At 20% loss, five in a row are lost once in 3,000 timeouts, and at two watchers once in 10^7."""
+"""At 20% loss, five in a row are lost once in 3,000 timeouts, at two watchers once in 10^7."""
 
 
 @dataclass
-class _Heard:
+class _LastHeard:
     """The last sign of life of a watched server, in active seconds."""
 
     boot_id: int
@@ -48,14 +49,14 @@
 
 @dataclass
 class SilenceStep:
-    """Whom to ask about which server, and which servers are lost."""
+    """The result of a step: queries to other watchers, and records of servers found to be lost."""
 
     queries: list[tuple[InstanceId, SilenceQuery]] = field(default_factory=list)
     lost: list[ServerRecord] = field(default_factory=list)
 
 
 class SilenceWatch:
-    """Listens for the servers whose shard this instance watches."""
+    """Detects the loss of servers in the shards that this instance watches."""
 
     def __init__(
         self,
@@ -68,15 +69,15 @@
         self._directory = directory
         self._choice = choice
         self._limits = limits
-        self._heard: dict[ServerId, _Heard] = {}
+        self._heard: dict[ServerId, _LastHeard] = {}
         self._inquiries: dict[ServerId, _Inquiry] = {}
-        self._holding = False
+        self._is_on_hold = False
         self.stride = 1
-        """Only every so many heartbeats are passed on; the timeout grows with it."""
+        """One in this many heartbeats of a server is forwarded; the timeout grows with it."""
 
     @property
     def timeout(self) -> float:
-        """Return the active seconds of silence after which the others are asked."""
+        """Return the active seconds of silence after which the other watchers are asked."""
         return max(self._limits.heartbeat_timeout, HEARTBEATS_IN_TIMEOUT * float(self.stride))
 
     @property
@@ -85,16 +86,16 @@
         return len(self._heard)
 
     def learn(self, record: ServerRecord, active: float) -> None:
-        """Take a new record of a server for a sign of life."""
+        """Count a new record of a watched server as a sign of life, unless it is a tombstone."""
         if not record.is_tombstone and record.server_id in self._heard:
             self._note(record.server_id, record.boot_id, record.sequence, active)
 
     def hear(self, heartbeat: Heartbeat, active: float) -> None:
-        """Take a heartbeat, whichever entry passed it on."""
+        """Record a heartbeat, whichever entry forwarded it."""
         self._note(heartbeat.server_id, heartbeat.boot_id, heartbeat.sequence, active)
 
     def find_newer(self, lost: ServerRecord, active: float) -> ServerRecord | None:
-        """Return the record that contradicts a loss, if the server was heard since."""
+        """Return a newer record that refutes a loss if the server was heard since, else None."""
         heard = self._heard.get(lost.server_id)
         if heard is None or active - heard.at > self.timeout:
             return None
@@ -103,30 +104,30 @@
         return replace(lost, lost=False, sequence=heard.sequence)
 
     def tick(self, active: float, sees_majority: bool) -> SilenceStep:
-        """Look for silent servers; ask about new ones, decide on those asked about before."""
+        """Check for silent servers: query the other watchers, and decide by earlier replies."""
         watched = self._refresh(active)
         silent = [
             record for record in watched if active - self._heard[record.server_id].at > self.timeout
         ]
-        self._holding = not sees_majority
+        self._is_on_hold = not sees_majority
         step = SilenceStep()
-        if not self._holding:
+        if not self._is_on_hold:
             for record in silent:
-                self._consider(record, active, step)
+                self._check_silent(record, active, step)
         return step
 
     def answer(self, query: SilenceQuery, active: float) -> SilenceReply:
-        """Tell another watcher what was heard of a server here."""
+        """Answer another watcher when this one last heard of a server."""
         heard = self._heard.get(query.server_id)
         if heard is None:
             return SilenceReply(query.server_id, query.boot_id, 0, silent=False, heard=False)
         recent = active - heard.at <= self.timeout
-        silent = not recent and not self._holding
+        silent = not recent and not self._is_on_hold
         age = int((active - heard.at) * 1000)
         return SilenceReply(query.server_id, heard.boot_id, heard.sequence, silent, recent, age)
 
     def handle_reply(self, reply: SilenceReply, sender: InstanceId, active: float) -> None:
-        """Count another watcher's answer; one that heard the server is a veto."""
+        """Count another watcher's reply; one that heard the server vetoes the loss."""
         inquiry = self._inquiries.get(reply.server_id)
         if inquiry is None:
             return
@@ -138,7 +139,7 @@
             inquiry.sequence = max(inquiry.sequence, reply.sequence)
 
     def _refresh(self, active: float) -> list[ServerRecord]:
-        """Return the watched servers; one that is new here has the whole timeout from now."""
+        """Return the watched servers; a newly watched one has the whole timeout from now on."""
         watched = [
             record
             for shard in self._choice.list_own_shards()
@@ -146,7 +147,7 @@
         ]
         self._heard = {
             record.server_id: self._heard.get(record.server_id)
-            or _Heard(record.boot_id, record.sequence, active)
+            or _LastHeard(record.boot_id, record.sequence, active)
             for record in watched
         }
         for server_id in [name for name in self._inquiries if name not in self._heard]:
@@ -158,10 +159,10 @@
         if heard is not None and (boot_id, sequence) < (heard.boot_id, heard.sequence):
             return
         latest = at if heard is None else max(at, heard.at)
-        self._heard[server_id] = _Heard(boot_id, sequence, latest)
+        self._heard[server_id] = _LastHeard(boot_id, sequence, latest)
         self._inquiries.pop(server_id, None)
 
-    def _consider(self, record: ServerRecord, active: float, step: SilenceStep) -> None:
+    def _check_silent(self, record: ServerRecord, active: float, step: SilenceStep) -> None:
         watchers = self._choice.list_watchers(record.server_id)
         inquiry = self._inquiries.get(record.server_id)
         majority = len(watchers) // 2 + 1
@@ -179,16 +180,16 @@
 
 
 def choose_stride(servers: int, instances: int, limits: MembershipLimits) -> int:
-    """Return how many heartbeats of a server go by until one is passed on.
+    """Return n so that every n-th heartbeat of a server is forwarded.
 
     Load: 110,000 servers announce once a second; each heartbeat goes to 3 watchers in about 110
     bytes with headers, 132 a second from each of 2,500 instances: 14.5 KB/s. Harm: more than all
-    control may use. Limit: at 2,000 bytes a second every 8th is passed on, and a silent server is
-    lost after 40 s instead of 5; detection by real work doesn't wait for that.
+    control may use. Limit: at 2,000 bytes a second every 8th is forwarded, and a silent server is
+    lost after 40 s instead of 5; detection by real requests doesn't wait for that.
     """
     per_second = servers * limits.watchers * HEARTBEAT_BYTES / max(1, instances)
     return max(1, -(-int(per_second) // int(limits.heartbeat_rate)))
 
 
 HEARTBEAT_BYTES: Final = 110
-"""One heartbeat as sent, with the tag and the headers of UDP and IP."""
+"""A heartbeat datagram, with the tag and the headers of UDP and IP."""
--- a/packages/agreement/src/persimmonusher_agreement/watchers.py
+++ b/packages/agreement/src/persimmonusher_agreement/watchers.py
@@ -1,4 +1,4 @@
-"""Which instances watch a backend server: agreed by rendezvous hashing, without messages."""
+"""Which instances watch a backend server: chosen by rendezvous hashing, without messages."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -9,17 +9,19 @@
 from persimmonusher_model.rendezvous import choose_spread, weigh
 
 HASHES_PER_STEP: Final = 20_000
-"""Hashes for choosing anew in one step, so that a step of a large fleet holds up no datagram."""
+"""Hashes in one step to choose watchers again, so that a step doesn't delay datagrams in a large
+fleet."""
 MIN_SHARDS_PER_STEP: Final = 8
-MANY_ADDED: Final = 16
-"""Above this, comparing each new instance with each shard costs more than choosing anew."""
+MAX_ADDED_COMPARED: Final = 16
+"""With more new instances, comparing each one with each shard costs more than choosing again."""
 
 
 class WatcherChoice:
-    """Keeps the watchers of each shard up to date while instances come and go.
+    """Keeps the watchers of each shard up to date while instances join and leave.
 
-    Load: at 2,500 instances one comes or goes every 3 s, and choosing for one shard takes 2,500
-    hashes. Only shards are chosen anew that lost a watcher, or that a new instance outranks.
+    Load: at 2,500 instances one joins or leaves every 3 s, and choosing for one shard takes 2,500
+    hashes. So watchers are chosen again only for shards that lost a watcher, or for which a new
+    instance may outrank one.
     """
 
     def __init__(self, own: InstanceId, count: int) -> None:
@@ -32,7 +34,7 @@
         self._changes = -1
 
     def update(self, live: Mapping[InstanceId, MemberRecord], changes: int) -> None:
-        """Take the live instances; `changes` tells cheaply whether they are the same."""
+        """Set the live instances; an equal `changes` means that they are the same as before."""
         if changes == self._changes:
             return
         self._changes = changes
@@ -40,7 +42,7 @@
         added = [name for name in domains if domains[name] != self._domains.get(name)]
         gone = {name for name in self._domains if domains.get(name) != self._domains[name]}
         self._domains = domains
-        if len(added) > MANY_ADDED:
+        if len(added) > MAX_ADDED_COMPARED:
             self._stale = set(range(SHARDS))
             return
         for shard, chosen in self._chosen.items():
@@ -52,14 +54,14 @@
         return self.list_shard_watchers(find_shard(server_id))
 
     def list_own_shards(self) -> list[int]:
-        """List the shards that this instance watches, choosing some of the stale ones anew."""
+        """List the shards that this instance watches; choose again for some stale shards first."""
         step = max(MIN_SHARDS_PER_STEP, HASHES_PER_STEP // max(1, len(self._domains)))
         for shard in sorted(self._stale)[:step]:
             self.list_shard_watchers(shard)
         return list(self._own_shards)
 
     def list_shard_watchers(self, shard: int) -> tuple[InstanceId, ...]:
-        """List the watchers of a shard, chosen anew if it is stale."""
+        """List the watchers of a shard in rank order, chosen again if the shard is stale."""
         if shard in self._stale:
             names = choose_spread(self._domains, _make_key(shard), self._count)
             self._chosen[shard] = tuple(InstanceId(name) for name in names)
@@ -75,9 +77,9 @@
         key = _make_key(shard)
         lowest = min(weigh(name, key) for name in chosen)
         domains = {self._domains.get(name) for name in chosen}
-        crowded = len(domains) < len(chosen)
+        shares_domain = len(domains) < len(chosen)
         return any(
-            weigh(name, key) > lowest or (crowded and self._domains[name] not in domains)
+            weigh(name, key) > lowest or (shares_domain and self._domains[name] not in domains)
             for name in added
         )
 
--- a/packages/agreement/tests/test_membership_parts.py
+++ b/packages/agreement/tests/test_membership_parts.py
@@ -191,7 +191,7 @@
     def test_doubted_servers_stay_listed_until_confirmed_or_dropped(self) -> None:
         for number in range(4):
             self.directory.apply(make_server(number), 0.0)
-        self.directory.doubt_all()
+        self.directory.mark_all_unconfirmed()
         self.assertEqual(len(self.directory.list_servers(SERVICE)), 4)
         self.assertIsNone(self.directory.find(ServerId("worker-1")))
         self.directory.may_confirm = False
@@ -202,7 +202,7 @@
         self.assertEqual(self.directory.apply(older, 0.0), make_server(0))
         self.assertIsNotNone(self.directory.apply(make_server(2, sequence=2, state=3), 0.0))
         self.assertEqual(len(self.directory.list_servers(SERVICE)), 3)
-        self.assertEqual(self.directory.drop_doubted(), [SERVICE])
+        self.assertEqual(self.directory.drop_unconfirmed(), [SERVICE])
         self.assertEqual(len(self.directory.list_servers(SERVICE)), 2)
 
     def test_tombstones_expire(self) -> None:
@@ -236,13 +236,13 @@
         queue = GossipQueue()
         for number in range(1, 21):
             queue.add(make_server(number), 2)
-        queue.note_duplicate(make_server(1))
-        queue.note_duplicate(make_server(1, sequence=9))
+        queue.count_duplicate(make_server(1))
+        queue.count_duplicate(make_server(1, sequence=9))
         self.assertEqual(len(queue), 20)
-        queue.note_duplicate(make_server(1))
+        queue.count_duplicate(make_server(1))
         self.assertEqual(len(queue), 19)
-        queue.note_duplicate(make_server(2))
-        queue.note_duplicate(make_server(2))
+        queue.count_duplicate(make_server(2))
+        queue.count_duplicate(make_server(2))
         self.assertEqual(len(queue), 19)
 
     def test_transmissions_grow_with_the_logarithm(self) -> None:
