--- a/packages/agreement/tests/test_claims.py
+++ b/packages/agreement/tests/test_claims.py
@@ -69,8 +69,8 @@
                 self.assertEqual(record.state, expected)
 
     def test_a_claim_that_arrives_after_its_release_does_not_hold_the_key(self) -> None:
-        # A clerk's application is refused as not run, and each resend is told that it is still
-        # running. The claim's release overtook the claim itself, which then held the key.
+        # A request is refused as not run, but each resend is answered that it is still running: the
+        # release of the claim arrived before the claim itself, which then held the key.
         register = self.registers[NAMES[0]]
         register.settle(Settlement("key", "t1", None), 0.0)
         self.assertEqual(register.claim(make_request("t1"), 0.1).kind, VoteKind.ABSTAINED)
@@ -84,8 +84,8 @@
         self.assertEqual(register.record_count, 1)
 
     def test_a_restarted_register_abstains_until_it_has_read_three_peers(self) -> None:
-        # A fee was charged twice. A register granted its claim, restarted with empty memory, and
-        # granted a resend of the same key through another instance.
+        # A request ran twice: a register granted its claim, restarted with empty memory, and
+        # granted the same key to a resend through another instance.
         for name in "rbc":
             self.registers[InstanceId(name)].claim(make_request("t1"), 0.0)
         reborn = self.start(NAMES[0], 2)
@@ -95,8 +95,8 @@
         self.assertEqual(reborn.claim(make_request("t2"), 1.0).kind, VoteKind.TAKEN)
 
     def test_a_release_of_a_rival_does_not_uncover_a_lost_grant(self) -> None:
-        # A flat was assigned twice. The restarted register read back a losing rival's record and
-        # the winner's; when the rival gave its grant back, the register held nothing.
+        # A request ran twice: a restarted register read back the record of the winner and that of a
+        # losing rival; when the rival released its claim, the register held nothing.
         for name in "rbc":
             self.registers[InstanceId(name)].claim(make_request("winner"), 0.0)
         self.registers[InstanceId("d")].claim(make_request("rival"), 0.0)
@@ -106,7 +106,7 @@
         self.assertEqual(reborn.claim(make_request("t3"), 1.0).kind, VoteKind.TAKEN)
 
     def test_a_vote_of_an_earlier_boot_does_not_count(self) -> None:
-        # An entry ran twice. Register r granted t1 and restarted; it read b, d and e before t1
+        # A request ran twice: register r granted t1 and restarted; it read b, d and e before t1
         # reached b and c, found nothing, and granted t2. t1 still counted r's old grant.
         first = ClaimRound(make_request("t1"), ROSTER)
         first.receive(self.registers[NAMES[0]].claim(first.request, 0.0))
@@ -121,7 +121,7 @@
         self.assertNotEqual(first.status, RoundStatus.GRANTED)
 
     def test_known_boots_survive_a_second_restart(self) -> None:
-        # As above, but b restarts too before t1 reaches it, and must not forget r's new boot.
+        # As above, but b restarts too before t1 reaches it, and must read r's new boot back.
         first = ClaimRound(make_request("t1"), ROSTER)
         first.receive(self.registers[NAMES[0]].claim(first.request, 0.0))
         self.registers[NAMES[0]] = self.start(NAMES[0], 2)
@@ -133,8 +133,8 @@
         self.assertNotEqual(first.status, RoundStatus.GRANTED)
 
     def test_a_wall_clock_that_went_back_does_not_revive_old_votes(self) -> None:
-        # An entry ran twice. The wall clock went back over a restart, so the new life's boot was
-        # below the old one's, and the old life's vote passed for the newer.
+        # A request ran twice: the wall clock went back over a restart, so the boot of the new start
+        # was below that of the old one, and a vote from before the restart counted as newer.
         roster = Roster(1, make_members(NAMES, boot=50))
         registers = {}
         for name in NAMES:
@@ -153,8 +153,8 @@
         self.assertEqual(len(again.list_unread()), 4)
 
     def test_a_restarted_register_waits_for_a_roster_that_peers_know(self) -> None:
-        # The restarted instance pulled its configuration from an instance that lags behind; its
-        # peers hold claims under a newer roster, of which it can't judge.
+        # The restarted instance got its configuration from an instance that lags behind; its peers
+        # hold claims under a newer roster, which the restarted one doesn't know.
         newer = Roster(2, ROSTER.members, ROSTER.members)
         for name in "bcde":
             self.registers[InstanceId(name)].replace_roster(newer)
@@ -166,8 +166,8 @@
         self.assertEqual(vote.kind, VoteKind.GRANTED)
 
     def test_a_register_refuses_an_older_roster_and_abstains_under_a_newer_one(self) -> None:
-        # An instance that is cut off from the keepers claims under a roster two versions old,
-        # whose majorities need not meet those of today.
+        # An instance that is cut off from the keepers claims under a roster two versions old, whose
+        # majorities may share no register with those of the roster in force.
         register = self.registers[NAMES[0]]
         register.replace_roster(Roster(2, ROSTER.members, ROSTER.members))
         cases = [(1, VoteKind.STALE_ROSTER), (2, VoteKind.GRANTED), (3, VoteKind.ABSTAINED)]
--- a/packages/agreement/tests/test_configuration.py
+++ b/packages/agreement/tests/test_configuration.py
@@ -39,9 +39,9 @@
             self.assertIsInstance(self.configuration.apply(change), Accepted)
 
     def test_operators_race_and_the_loser_sees_the_winner(self) -> None:
-        """Two clerks change the same profile from the same revision, one change each.
+        """Two operators change the same profile from the same revision, one change each.
 
-        One must win. The other must get a conflict that shows whose change won, and which.
+        One must win. The other must get a conflict that shows which change won, and whose it was.
         """
         first = self.configuration.apply(make("a", "profile", "lookups", 1, {"ramp_ms": 2}))
         second = self.configuration.apply(make("b", "profile", "lookups", 1, {"ramp_ms": 3}))
@@ -51,9 +51,9 @@
         self.assertEqual(self.configuration.revision, 4)
 
     def test_a_resend_gets_the_first_verdict_also_after_a_snapshot(self) -> None:
-        """The answer to a change is lost and the clerk resends it after others changed more.
+        """The answer to a change is lost and it is resent after other changes.
 
-        Applied again it would conflict with itself, or undo what came after.
+        If it were applied again, it would conflict with itself or undo the later changes.
         """
         changes = [
             make("a", "profile", "lookups", 1, {"ramp_ms": 2}),
@@ -111,7 +111,7 @@
         self.assertEqual((len(state.verdicts), len(state.records), len(state.histories)), (5, 4, 4))
 
     def test_a_body_nested_too_deep_is_a_finding(self) -> None:
-        """A script sends sixty thousand brackets; the leader must answer, not break off."""
+        """A body nests sixty thousand brackets; the leader must return a finding, not fail."""
         key = ObjectKey(ObjectKind.PROFILE, "p")
         change = Change("c", "clerk", key, Revision(0), "[" * 60_000)
         self.assertEqual([f.code for f in check_change(change)], [ErrorCode.BAD_JSON])
@@ -150,10 +150,10 @@
         return sorted(record.key.name for record in store.list_live(ObjectKind.PROFILE))
 
     def test_a_replica_that_was_away_gets_the_same_state(self) -> None:
-        """An entry is cut off while objects are made, changed and retired.
+        """An entry is cut off while objects are created, changed and retired.
 
-        On its return one batch must bring it to the same state, also when the tombstones of what
-        was retired meanwhile are forgotten already.
+        On its return one batch must bring it to the same state, also if the tombstones of objects
+        retired meanwhile are removed already.
         """
         for away in (1, 8):
             replica = ConfigurationStore()
@@ -174,7 +174,7 @@
     def test_late_answers_and_other_fleets_change_nothing(self) -> None:
         """A slow peer answers after a newer batch was applied; another fleet's keeper answers.
 
-        Neither may take the entry back to an older configuration.
+        Neither answer may change the entry's configuration.
         """
         replica = ConfigurationStore()
         self.change("a", {})
--- a/packages/agreement/tests/test_directory_faults.py
+++ b/packages/agreement/tests/test_directory_faults.py
@@ -52,8 +52,8 @@
 
     def test_a_drain_reaches_all_in_two_seconds_at_twenty_percent_loss(self) -> None:
         """
-        A backend server is told to stop and announces that it drains, while each datagram between
-        instances is lost with a probability of 0.2. Entries that miss it go on sending it work.
+        A stopping backend server announces that it drains, while each datagram between instances is
+        lost with a probability of 0.2. Entries that miss the drain go on sending it requests.
         """
         for seed in range(3):
             fleet, checker, servers = start_fleet(48, seed, loss=0.2, servers=24)
@@ -65,8 +65,8 @@
 
     def test_a_drain_reaches_all_when_the_entry_that_was_told_is_killed(self) -> None:
         """
-        The entry that a leaving server tells is killed in the same moment, before or just after
-        its first datagrams leave. The server repeats itself each second through other entries.
+        The entry that receives a server's drain is killed at once, before or just after it sends
+        its first datagrams. The server repeats the drain each second through other entries.
         """
         for seed in range(2):
             fleet, checker, servers = start_fleet(48, seed, loss=0.2)
@@ -81,8 +81,8 @@
 
     def test_a_drain_crosses_a_one_way_cut(self) -> None:
         """
-        The entry that was told can't reach one failure domain, or nobody in a domain is reached
-        by another domain; the drain must get there through the third.
+        The entry that received the drain can't reach one failure domain, or a whole domain can't
+        reach another one; the drain must get there through the third domain.
         """
         cuts = (((3,), range(1, 48, 3)), (range(0, 48, 3), range(1, 48, 3)))
         for senders, receivers in cuts:
@@ -128,10 +128,10 @@
 
     def test_a_silent_server_is_lost_and_comes_back(self) -> None:
         """
-        A server's machine loses power. Its watchers take it for lost after the heartbeat timeout,
-        and everyone stops listing it; it comes back when it announces itself again. Under loss the
-        watchers last heard it at different times, and must not take each other's answers for signs
-        of life.
+        A server's machine loses power. Its watchers declare it lost after the heartbeat timeout,
+        and all instances stop listing it; it is listed again once it announces itself. With message
+        loss the watchers last heard it at different times, and must not count each other's answers
+        as signs of life.
         """
         for seed, loss in ((1, 0.0), (1, 0.2), (4, 0.2), (5, 0.2)):
             with self.subTest(seed=seed, loss=loss):
@@ -148,8 +148,8 @@
 
     def test_one_cut_instance_removes_no_server(self) -> None:
         """
-        One instance hears nothing any more, or is not heard, or both, for minutes. It watches
-        some servers, finds them silent, and must not have them removed.
+        For minutes one instance receives nothing, or nothing that it sends arrives, or both. It
+        watches some servers, finds them silent, and must not get them removed.
         """
         others = [number for number in range(12) if number != 4]
         for senders, receivers in ((others, [4]), ([4], others)):
@@ -166,7 +166,7 @@
     def test_an_isolated_instance_keeps_its_servers_for_hours(self) -> None:
         """
         An instance is cut off from all others for two hours, while callers still reach it. It
-        hears only its share of the announcements and must go on listing the servers.
+        receives only its share of the announcements and must go on listing the servers.
         """
         fleet, checker, servers = start_fleet(3)
         fleet.cut_both_ways([2], [0, 1])
@@ -180,8 +180,8 @@
 
     def test_a_frozen_watcher_removes_no_server(self) -> None:
         """
-        Three instances are stopped for ten minutes and go on; the balancer drops them after ten
-        seconds. To their clocks, all servers that they watch have been silent for ten minutes.
+        Three instances are frozen for ten minutes and continue; the balancer drops them after ten
+        seconds. By their clocks, all servers that they watch have been silent for ten minutes.
         """
         fleet, checker, servers = start_fleet()
         for number in (2, 3, 4):
@@ -198,8 +198,8 @@
 
     def test_a_broken_balancer_removes_no_server(self) -> None:
         """
-        The balancer drops announcements for ten minutes, while callers' requests pass. All
-        servers fall silent at once; were they taken for lost, every request would be refused.
+        The balancer drops announcements for ten minutes, while callers' requests pass. All servers
+        fall silent at once; if none of them were listed, every request would be refused.
         """
         fleet, checker, servers = start_fleet()
         fleet.unreachable.update(range(12))
@@ -212,7 +212,7 @@
     def test_the_smaller_side_of_a_cut_removes_no_server(self) -> None:
         """
         A failure domain is cut off, and all announcements reach the larger side only. The cut-off
-        instances see themselves as the only watchers, hear nothing, and must keep the servers.
+        instances are the only watchers they know, hear nothing, and must keep the servers.
         """
         fleet, checker, servers = start_fleet()
         island = list(range(1, 12, 3))
@@ -227,7 +227,8 @@
     def test_a_stopped_server_does_not_come_back_after_its_tombstone(self) -> None:
         """
         A server stops while some instances are cut off or frozen, or one runs alone, for longer
-        than the others keep its tombstone. When they return they still hold it as ready.
+        than the others keep its tombstone. On their return they still hold it as ready, and must
+        not spread that.
         """
         for fault in ("isolated", "island", "frozen"):
             with self.subTest(fault=fault):
--- a/packages/agreement/tests/test_freshness.py
+++ b/packages/agreement/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""What keepers say of their freshness, held against what was acknowledged meanwhile."""
+"""The freshness that keepers and entries report, compared with the acknowledged changes."""
 
 import unittest
 from random import Random
@@ -14,19 +14,19 @@
 ELECTION_SECONDS = TIMING.election_timeout
 HEARTBEAT_SECONDS = TIMING.heartbeat
 SEEDS = (*range(30), 1108, 1272)
-"""The last two: a delayed message makes a restarted keeper answer what it had answered before."""
+"""With the last two, a delayed message makes a restarted keeper repeat a former answer."""
 
 
 class FreshnessLeaseTest(unittest.TestCase):
     def setUp(self) -> None:
         self.lease = FreshnessLease()
 
-    # Guards against time on the way counting as fresh.
+    # Guards against counting an answer as fresh although it was long in transit.
     def test_an_answer_counts_from_when_it_was_asked_for(self) -> None:
         self.lease.grant(10.0, 0.4, Revision(3), held=Revision(3))
         self.assertAlmostEqual(self.lease.find_age(12.0), 2.4)
 
-    # Guards against an entry that never is fresh while changes follow each other quickly.
+    # Guards against an entry that is never fresh while changes follow each other quickly.
     def test_answers_wait_for_their_revision_and_do_not_push_each_other_out(self) -> None:
         for second in range(100):
             self.lease.hold(Revision(max(0, second - 3)))
@@ -34,14 +34,14 @@
             if second > 3:
                 self.assertEqual(self.lease.find_age(float(second)), 3.0)
 
-    # Guards against answers that wait in vain keeping out those that count at once.
+    # Guards against answers whose revision never arrives blocking those that count at once.
     def test_answers_that_never_count_leave_room_for_others(self) -> None:
         for second in range(100):
             self.lease.grant(float(second), 0.0, Revision(9), held=Revision(1))
         self.lease.grant(100.0, 0.0, Revision(1), held=Revision(1))
         self.assertEqual(self.lease.find_age(101.0), 1.0)
 
-    # Guards against a late answer making the entry older again.
+    # Guards against a late answer making the entry's configuration look older again.
     def test_an_older_answer_changes_nothing(self) -> None:
         self.lease.grant(10.0, 0.0, Revision(1), held=Revision(1))
         self.lease.grant(9.0, 0.5, Revision(1), held=Revision(1))
@@ -49,7 +49,7 @@
 
 
 class FreshnessTest(unittest.TestCase):
-    """A keeper that states an age holds all that was acknowledged longer ago than that."""
+    """A keeper that reports an age holds all changes acknowledged longer ago than that."""
 
     def setUp(self) -> None:
         self.begin(seed=1)
@@ -62,7 +62,7 @@
         self.run_for(CALM_SECONDS)
 
     def run_for(self, seconds: float) -> None:
-        """Let time pass under changes, and check all keepers also between their events."""
+        """Advance time while changes are made, and check all keepers, also between events."""
         end = self.schedule.now + seconds
         while self.schedule.now < end:
             self.schedule.run(STEP_SECONDS)
@@ -82,7 +82,7 @@
         running = self.cluster.list_running()
         return [keeper.replica.find_majority_age(self.schedule.now) for keeper in running]
 
-    # Guards against messages that were long on their way being taken for fresh.
+    # Guards against counting messages as fresh that were long in transit.
     def test_a_way_that_becomes_slow_counts_as_age(self) -> None:
         leader = self.find_leader()
         followers = [name for name in self.cluster.keepers if name != leader]
@@ -90,7 +90,7 @@
             self.schedule.slow(leader, followers[0], step * 0.05)
             self.run_for(0.2)
 
-    # Guards against answers that were long on their way counting as a majority of now.
+    # Guards against counting answers that were long in transit as a present majority.
     def test_slow_answers_make_a_leader_old(self) -> None:
         leader = self.find_leader()
         for step in range(12):
@@ -101,7 +101,7 @@
         assert replica is not None
         self.assertGreater(replica.replica.find_majority_age(self.schedule.now), 0.5)
 
-    # Guards against followers of a leader without a majority calling themselves fresh.
+    # Guards against followers that report themselves fresh while their leader has no majority.
     def test_a_follower_of_a_leader_that_lost_its_majority_is_not_fresh(self) -> None:
         self.begin(seed=2, size=5)
         leader = self.find_leader()
@@ -116,13 +116,13 @@
         self.assertGreater(keeper.replica.find_majority_age(self.schedule.now), 0.8)
         self.run_for(6.0)
 
-    # Guards against a thawed leader, which others have replaced, calling itself fresh.
+    # Guards against a leader that was replaced while frozen and then reports itself fresh.
     def test_a_leader_that_was_frozen_is_not_fresh(self) -> None:
         for seconds in (0.5, 1.5, 4.0):
             self.schedule.freeze(self.find_leader(), seconds)
             self.run_for(seconds + 4.0)
 
-    # Guards against keepers that wait for the next heartbeat to be fresh after an election.
+    # Guards against keepers that aren't fresh until the next heartbeat after an election.
     def test_after_an_election_all_keepers_are_fresh_at_once(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
@@ -133,13 +133,13 @@
                 self.schedule.run(HEARTBEAT_SECONDS / 2)
                 self.assertLess(max(self.find_ages()), HEARTBEAT_SECONDS)
 
-    # Guards against keepers that never are fresh enough to be followed.
+    # Guards against keepers that are never fresh enough to be followed.
     def test_without_faults_every_keeper_stays_fresh(self) -> None:
         for _ in range(50):
             self.run_for(0.1)
             self.assertLess(max(self.find_ages()), 0.6)
 
-    # Guards against orders of cuts, slow ways, pauses and restarts that no single test has.
+    # Guards against sequences of cuts, slow paths, pauses and restarts beyond the other tests.
     def test_stated_ages_are_true_under_series_of_faults(self) -> None:
         for size in (3, 5):
             for seed in SEEDS:
--- a/packages/agreement/tests/test_keeper_choice.py
+++ b/packages/agreement/tests/test_keeper_choice.py
@@ -1,4 +1,4 @@
-"""Which keeper entries follow, in failure domains with and without one."""
+"""Which keeper entries follow, in failure domains with and without a keeper."""
 
 import unittest
 from random import Random
@@ -22,10 +22,10 @@
                 self.assertIsNone(choice.find_better(place, PLACES, 0.0))
 
     def test_entries_of_a_domain_without_a_keeper_follow_the_same_one(self) -> None:
-        """What they have in progress is summed up by keeper.
+        """Each keeper adds up the requests in progress of the entries that follow it.
 
-        Spread over five of them, none knew the load of that domain's servers, and the entries
-        there crowded some of these while others stood idle.
+        When these entries followed five different keepers, no keeper knew the load of that domain's
+        servers, and the entries overloaded some servers while others were idle.
         """
         chosen = {choice.choose(PLACES, 0.0) for choice in make_choices(DOMAIN_WITHOUT)}
         self.assertEqual(len(chosen), 1)
--- a/packages/agreement/tests/test_keeper_members.py
+++ b/packages/agreement/tests/test_keeper_members.py
@@ -23,9 +23,9 @@
 
 class KeeperMembersTest(unittest.TestCase):
     def test_a_learner_counts_for_no_majority(self) -> None:
-        """A repaired keeper is taken in as a learner and answers before it has caught up.
+        """A repaired keeper is added as a learner and answers before it has caught up.
 
-        Counted, it and one voter would make a majority without what the other voters hold.
+        If it counted, it and one voter would be a majority that lacks what the other voters hold.
         """
         members = add(FIRST, "k1#b")
         self.assertFalse(members.has_majority(name("k2#a", "k1#b")))
@@ -65,10 +65,10 @@
     unittest.main()
 
     def test_a_silent_voter_is_replaced_only_by_a_learner_that_stands_ready(self) -> None:
-        """A keeper's machine is taken away for good, and a new one asks for a place.
+        """A keeper's machine is removed for good, and a new keeper asks to become a voter.
 
-        With no operator at hand the place must go to the newcomer. But a voter that is merely
-        frozen, with nobody to take its place, must stay: removed, it would leave fewer copies.
+        The new one must replace it without an operator. But a voter that is merely frozen, without
+        a keeper to replace it, must stay: without it there would be fewer copies.
         """
         lost = name("k3#a")
         caught_up = name("k1#a", "k2#a", "k9#a")
--- a/packages/agreement/tests/test_log_copies.py
+++ b/packages/agreement/tests/test_log_copies.py
@@ -14,10 +14,10 @@
 
 
 class LogCopiesTest(unittest.TestCase):
-    """Replicas that exchange messages in this process, some of which answer."""
+    """Replicas that exchange messages within this process; only some of them answer."""
 
     def lead(self, voters: int, copies: int, answering: int) -> tuple[LogReplica, int]:
-        """Return the leader with the index of a change, after `answering` followers took it."""
+        """Return the leader and the index of a change that `answering` followers acknowledged."""
         names = NAMES[:voters]
         members = form_members("fleet", {name: name for name in names})
         replicas = {
@@ -52,10 +52,10 @@
                 waiting.extend(replicas[message.target].flush())
 
     def test_a_change_is_committed_with_one_copy_more_than_disks_that_may_be_lost(self) -> None:
-        """Two disks may be lost at once. In the first seconds there are only three keepers.
+        """Two disks may be lost at once, but in the first seconds there are only three keepers.
 
-        A majority of three is two: a change acknowledged with two copies would be gone when just
-        these two disks are lost, although no more was lost than is borne.
+        A majority of three is two: a change acknowledged with two copies would be gone if just
+        these two disks are lost, although that many losses are tolerated.
         """
         two_lost = LossTolerance.for_losses(2)
         self.assertEqual((two_lost.copies, two_lost.voters), (3, 5))
--- a/packages/agreement/tests/test_log_elections.py
+++ b/packages/agreement/tests/test_log_elections.py
@@ -13,7 +13,7 @@
 
 class LogElectionsTest(unittest.TestCase):
     def find_seconds_without_leader(self, seed: int) -> float:
-        """Return how long nobody leads after all restarted, two of five without their disks."""
+        """Return how long there is no leader after all five restart, two with empty disks."""
         schedule = LogSchedule(seed, size=5, tolerance=LossTolerance.for_losses(2))
         schedule.run(6.0)
         first, second, *others = schedule.cluster.keepers
@@ -32,7 +32,7 @@
         return seconds
 
     def test_a_split_vote_is_soon_repeated(self) -> None:
-        """Guards against seconds without a leader when all three that are left must vote alike."""
+        """Guards against seconds without a leader when all three voters left must vote alike."""
         with patch.object(log_cluster, "TIMING", TIMING):
             waits = [self.find_seconds_without_leader(seed) for seed in range(60)]
         late = [wait for wait in waits if wait > LONGEST_SECONDS]
--- a/packages/agreement/tests/test_log_exploration.py
+++ b/packages/agreement/tests/test_log_exploration.py
@@ -16,8 +16,8 @@
 class KeepersMachine(RuleBasedStateMachine):
     """Three keepers; Hypothesis chooses every event, and every step checks the invariants.
 
-    Messages wait in one bag: they are delivered in any order, twice, or never. At most one disk
-    is lost until its keeper counts as a voter again, which is what three keepers promise.
+    Messages wait in one bag: they are delivered in any order, twice, or never. After a disk is
+    lost, no other is lost until its keeper is a voter again: three keepers tolerate no more.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
 
     @rule(rounds=st.integers(1, 8))
     def run_well(self, rounds: int) -> None:
-        """Deliver all that waits, in order, for some heartbeats."""
+        """Deliver waiting messages in order, for some heartbeats."""
         for _ in range(rounds):
             self.now += 0.2
             for name in self.cluster.keepers:
@@ -133,7 +133,7 @@
         self.cluster.pull(entry, name)
 
     def teardown(self) -> None:
-        """End the faults: everything decided must be there, and a change must get through."""
+        """End the faults: all verdicts must still be there, and a new change must be decided."""
         self.bag.clear()
         for name, keeper in self.cluster.keepers.items():
             keeper.disk.fault = None
@@ -160,7 +160,7 @@
 
 
 class KeepersTest(KeepersMachine.TestCase):  # type: ignore[name-defined,misc]
-    """Explore the log by Hypothesis's choice of events."""
+    """Explore the log with events chosen by Hypothesis."""
 
 
 if __name__ == "__main__":
--- a/packages/agreement/tests/test_log_replacement.py
+++ b/packages/agreement/tests/test_log_replacement.py
@@ -11,7 +11,7 @@
 
 
 class LogReplacementTest(unittest.TestCase):
-    """Five voters that may lose two disks at once, and a spare; all in virtual time."""
+    """Five voters that may lose two disks at once, and a spare keeper, in virtual time."""
 
     def start(self, seed: int, size: int = 6) -> None:
         self.random = Random(seed)
@@ -30,7 +30,7 @@
         return [find_instance(voter) for voter in voters]
 
     def accept(self) -> Change:
-        """Have a change accepted, and return at the very moment at which it is."""
+        """Propose a change, and return in the step in which it is accepted."""
         self.number += 1
         change = self.cluster.make_change(self.number, "clerk", "p", self.get_leader())
         for _ in range(400):
@@ -48,10 +48,10 @@
             self.assertIsInstance(configuration.find_verdict(change), Accepted)
 
     def test_two_disks_lost_right_after_an_acknowledgement_lose_nothing(self) -> None:
-        """A change is acknowledged, and in the same moment two keepers lose their disks.
+        """Two keepers lose their disks right after a change is acknowledged.
 
-        They return empty, as other identities. What was acknowledged must be there, also after it
-        has happened several times and every first disk is gone.
+        They return empty, with new ids. Every acknowledged change must still be there, also after
+        several such losses, when all the first disks are gone.
         """
         for seed in range(25):
             with self.subTest(seed=seed):
@@ -66,10 +66,10 @@
                     self.assertEqual(len(self.list_voters()), 5)
 
     def test_keepers_that_are_gone_for_good_are_replaced_without_an_operator(self) -> None:
-        """A keeper's machine is taken away, and later another one's disk is lost.
+        """A keeper's machine is removed for good, and later two other keepers lose their disks.
 
-        The spare takes the place of the first, so that the second loss still leaves a majority.
-        With nobody to take a place, a silent voter keeps it.
+        The spare must replace the first keeper, so that the later losses still leave a majority.
+        Without a spare, a silent voter stays a voter.
         """
         for seed in range(15):
             with self.subTest(seed=seed):
--- a/packages/agreement/tests/test_log_script.py
+++ b/packages/agreement/tests/test_log_script.py
@@ -21,7 +21,7 @@
 
 
 class LogScriptTest(unittest.TestCase):
-    """Histories that need an exact order, so the test decides on every delivery."""
+    """Scenarios that need an exact order, so the test decides on every delivery."""
 
     def setUp(self) -> None:
         self.cluster = LogCluster(seed=3, snapshot_entries=100)
@@ -32,14 +32,14 @@
         self.bag.extend(self.cluster.flush(name).messages)
 
     def wait(self, name: str, seconds: float) -> None:
-        """Let one keeper's time pass."""
+        """Advance the time of one keeper."""
         for _ in range(int(seconds / 0.2)):
             self.now += 0.2
             self.cluster.advance(name, self.now)
             self.flush(name)
 
     def deliver(self, names: set[str], stop_after: type | None = None) -> LogMessage | None:
-        """Deliver what these keepers send each other, lose the rest, until one of a type came."""
+        """Deliver messages among these keepers and drop all others, until one of a type arrives."""
         while self.bag:
             message = self.bag.pop(0)
             if not {find_instance(message.source), find_instance(message.target)} <= names:
@@ -55,7 +55,7 @@
         return running is not None and running.replica.is_leader
 
     def elect(self, name: str, voter: str) -> None:
-        """Let a keeper win an election by one other vote; its first entries stay in the bag."""
+        """Make a keeper win an election with one other vote; its first entries stay in the bag."""
         self.wait(voter, 1.4)
         for _ in range(100):
             self.bag.clear()
@@ -70,10 +70,10 @@
         self.fail(f"{name} was not elected")
 
     def test_an_entry_of_an_earlier_term_is_not_committed_by_counting(self) -> None:
-        """A change reaches only its leader, which crashes; another leads and crashes too.
+        """A change reaches only its leader, which crashes; another keeper leads and crashes too.
 
         The first leads again and copies the old entry to a second keeper: a majority holds it. The
-        other leader may still win and overwrite it, so the operator must not be told yet.
+        other one may still win an election and overwrite it, so it must not be acknowledged yet.
         """
         everyone = set(self.cluster.keepers)
         self.elect("k1", "k2")
@@ -113,11 +113,11 @@
         return [replica.find_majority_age(self.now) for replica in replicas]
 
     def test_a_pause_makes_a_keeper_stale_only_until_it_hears_a_majority_again(self) -> None:
-        """The machines stand still for some seconds, a few times, and wake with everything well.
+        """All machines pause for some seconds, a few times, and continue without other faults.
 
-        Afterwards all keepers said for ever that they were out of touch, by all pauses together:
-        entries left each of them within a tenth of a second, and knew no routes for certain. While
-        a keeper has heard nobody since a pause, it must not look fresh either.
+        The failure: afterwards each keeper reported an age of the sum of all pauses until it was
+        restarted, so entries stopped following each of them at once and had no routes known to be
+        current. Until a keeper has heard of a majority since a pause, it must not look fresh.
         """
         everyone = set(self.cluster.keepers)
         self.elect("k1", "k2")
@@ -132,9 +132,9 @@
             self.assertLess(max(self.find_ages()), 0.5)
 
     def test_a_late_request_cuts_off_no_entries_that_were_acknowledged(self) -> None:
-        """A follower holds three changes and said so; an older, shorter request comes late.
+        """A follower has acknowledged three changes; an older, shorter request arrives late.
 
-        Cut off there, the change that the leader counted on this follower for would be lost.
+        If the log were cut off at its end, changes that the leader counted here would be lost.
         """
         everyone = set(self.cluster.keepers)
         self.elect("k1", "k2")
@@ -154,10 +154,10 @@
         self.assertEqual(self.get_last_index("k2"), before)
 
     def test_a_deposed_leader_is_refused_and_an_own_entry_is_not_acknowledged(self) -> None:
-        """A leader takes a change and is cut off; the others elect another.
+        """A leader appends a change and is cut off; the others elect another leader.
 
-        What the old one sends late must change nothing. Asked by the new one up to the entry
-        before, the old one must not acknowledge its own change as if it were the new leader's.
+        The old leader's late messages must have no effect. When the new leader's request ends just
+        before the old one's own change, the old one must not acknowledge that change.
         """
         everyone = set(self.cluster.keepers)
         self.elect("k1", "k2")
@@ -187,9 +187,9 @@
         self.assertLess(old.replica.commit, last)
 
     def test_messages_of_a_log_that_was_formed_and_lost_are_dropped(self) -> None:
-        """A first log is lost with its only disk and formed anew; the first one's message is late.
+        """A log is lost and formed anew, and a message of the first log arrives late.
 
-        Both logs share indexes and terms, so only the lineage tells them apart.
+        Both logs have the same indexes and terms, so only the lineage distinguishes them.
         """
         self.elect("k1", "k2")
         self.deliver(set(self.cluster.keepers))
@@ -203,7 +203,7 @@
         self.assertEqual(self.get_last_index("k2"), before)
 
     def test_a_keeper_that_lacks_a_committed_change_is_not_elected(self) -> None:
-        """A change is committed on two keepers; the leader dies and the third calls an election."""
+        """A change is committed on two keepers; the leader crashes and the third one stands."""
         everyone = set(self.cluster.keepers)
         self.elect("k1", "k2")
         self.deliver(everyone)
@@ -217,9 +217,9 @@
         self.elect("k2", "k3")
 
     def test_a_snapshot_keeps_acknowledged_entries_after_it(self) -> None:
-        """A late snapshot reaches a follower that has acknowledged entries after its end.
+        """A late snapshot reaches a follower that has acknowledged entries after its index.
 
-        Dropped, they would be missing from the majority that the leader counted.
+        If it removed them, the majority that the leader counted would not hold them any more.
         """
         for term, last in ((1, 5), (2, 3)):
             with self.subTest(term=term):
@@ -238,7 +238,7 @@
         return running.replica.log.last_index
 
     def test_two_voters_are_never_changed_at_once(self) -> None:
-        """Two keepers are taken out in one step: the old and the new majority share no keeper."""
+        """If two voters were removed in one step, two majorities might share no keeper."""
         self.elect("k1", "k2")
         self.deliver(set(self.cluster.keepers))
         leader = self.cluster.keepers["k1"].running
--- a/packages/agreement/tests/test_log_traps.py
+++ b/packages/agreement/tests/test_log_traps.py
@@ -32,7 +32,7 @@
         return change
 
     def accept(self, count: int = 1, name: str = "p") -> list[Change]:
-        """Have changes accepted one after the other."""
+        """Propose changes one after the other, and check that each is accepted."""
         changes = []
         for _ in range(count):
             changes.append(self.change(name=name))
@@ -50,9 +50,9 @@
             self.cluster.invariants.check_end(keeper, self.cluster.changes)
 
     def test_operators_with_equal_numbers_of_changes_race(self) -> None:
-        """Two operators change the same profile again and again from the same revision.
+        """Two operators repeatedly change the same profile from the same revision.
 
-        Each round has one winner, and the other is shown the winner's change.
+        Each round has one winner, and the other operator gets the winner's change.
         """
         self.accept()
         for _ in range(10):
@@ -66,9 +66,9 @@
         self.check_all_agree()
 
     def test_a_resend_after_a_new_leader_and_snapshots_gets_the_first_verdict(self) -> None:
-        """The leader commits a change and dies before it answers; the operator asks again.
+        """The leader commits a change and crashes before it answers; the operator resends it.
 
-        Later the log is compacted and all keepers restart, and the operator asks once more.
+        Later the log is compacted and all keepers restart, and the operator resends it once more.
         """
         (change,) = self.accept()
         first = self.cluster.invariants.verdicts[change.change_id]
@@ -109,29 +109,29 @@
                 self.assertEqual(leader.replica.term, term)
 
     def test_a_keeper_that_hears_no_leader_deposes_none(self) -> None:
-        """A keeper can't hear the leader, or anyone; its log is as good as any.
+        """A keeper receives nothing from the leader, or from anyone; its log is up to date.
 
-        It calls for elections. The others hear their leader and must refuse it, also where a vote
-        request of its reaches them without a pre-vote, as a late one can.
+        It starts elections. The others hear their leader and must refuse it, also if its vote
+        request reaches them without a pre-vote, as a late one can.
         """
-        for deaf_to_all in (True, False):
-            with self.subTest(deaf_to_all=deaf_to_all):
-                self.check_deaf_keeper(deaf_to_all)
+        for cut_from_all in (True, False):
+            with self.subTest(cut_from_all=cut_from_all):
+                self.check_cut_off_keeper(cut_from_all)
 
-    def check_deaf_keeper(self, deaf_to_all: bool) -> None:
+    def check_cut_off_keeper(self, cut_from_all: bool) -> None:
         self.schedule.run(4.0)
         leader = self.cluster.find_leader()
         assert leader is not None
         term = leader.replica.term
         name = self.get_follower()
-        unheard = set(self.cluster.keepers) - {name} if deaf_to_all else {self.get_leader()}
-        for other in unheard:
+        cut_sources = set(self.cluster.keepers) - {name} if cut_from_all else {self.get_leader()}
+        for other in cut_sources:
             self.schedule.cut(other, name, 60.0)
         self.schedule.run(30.0)
-        deaf = self.cluster.keepers[name].identity
+        cut_off_identity = self.cluster.keepers[name].identity
         for other in set(self.cluster.keepers) - {name}:
             target = self.cluster.keepers[other].identity
-            request = VoteRequest(deaf, target, term + 1, 999, term)
+            request = VoteRequest(cut_off_identity, target, term + 1, 999, term)
             self.cluster.deliver(request, "fleet1", self.schedule.now)
             self.schedule.flush(other)
         self.schedule.run(30.0)
@@ -140,10 +140,10 @@
         self.assertEqual(leader.replica.term, term)
 
     def test_an_isolated_leader_accepts_nothing_and_reverts_nothing(self) -> None:
-        """The leader is cut off silently, both ways or one way; the rest elects another.
+        """The leader is cut off without an error, both ways or one way; the rest elects another.
 
-        While cut off it must decide nothing and confirm no read. What it had appended is dropped
-        when it returns; what the others accepted meanwhile stays.
+        While cut off it must decide no change and confirm no read. On its return the entries that
+        it had appended are removed; the changes that the others accepted meanwhile stay.
         """
         for outwards, inwards in ((True, True), (True, False), (False, True)):
             with self.subTest(outwards=outwards, inwards=inwards):
@@ -173,7 +173,7 @@
                 self.check_all_agree()
 
     def test_a_deposed_leader_confirms_no_read(self) -> None:
-        """A leader is cut off; an operator asks it for the latest state before it notices."""
+        """A leader is cut off, and an operator reads the latest state before it detects that."""
         name = self.get_leader()
         old = self.cluster.keepers[name].running
         assert old is not None
@@ -200,9 +200,9 @@
     def test_one_keeper_is_repaired_on_an_empty_disk_and_a_second_is_lost(self) -> None:
         """One keeper's disk is replaced; right after it has caught up, another keeper is lost.
 
-        The accepted changes are on the survivor and on the repaired keeper, which together must
-        go on. Were the second lost before the first has caught up, nothing may be decided, and
-        the change must be there when the second returns.
+        The survivor and the repaired keeper hold the accepted changes and must go on together. If
+        the second is lost before the first has caught up, no change may be decided until the second
+        returns, and all changes must be there then.
         """
         for pause in (0.2, 8.0):
             with self.subTest(pause=pause):
@@ -225,10 +225,10 @@
                     self.assertIsNotNone(keeper.configuration.find_verdict(changes[0]))
 
     def test_a_wiped_keeper_answers_for_no_promise_of_its_lost_disk(self) -> None:
-        """A keeper gives its vote and loses its disk; a second candidate asks in the same term.
+        """A keeper grants its vote and loses its disk; a second candidate asks in the same term.
 
-        The empty keeper doesn't remember the vote. Were it to vote again under the old name, the
-        term would have two leaders.
+        The empty keeper has no record of the vote. If it voted again with the old id, the term
+        could have two leaders.
         """
         name = self.get_follower()
         old = self.cluster.keepers[name].identity
@@ -260,7 +260,7 @@
     def test_a_failing_disk_ends_the_keeper_and_loses_nothing(self) -> None:
         """The leader's disk loses a write, writes but reports an error, or is full.
 
-        The keeper must stop rather than promise; the others elect a leader and go on.
+        The keeper must stop rather than acknowledge; the others elect a leader and go on.
         """
         for fault in DiskFault:
             with self.subTest(fault):
@@ -277,7 +277,7 @@
     def test_a_clock_that_jumps_changes_no_outcome(self) -> None:
         """The clock of the leader or of a follower jumps an hour, forward or back.
 
-        No leader is deposed over it, and the keeper goes on with its heartbeats and elections.
+        It must depose no leader, and the keeper goes on with its heartbeats and elections.
         """
         for jump in (3_600.0, -3_600.0):
             for name in (self.get_leader(), self.get_follower()):
--- a/packages/agreement/tests/test_membership_exploration.py
+++ b/packages/agreement/tests/test_membership_exploration.py
@@ -17,7 +17,7 @@
 
 
 class FleetExploration(RuleBasedStateMachine):
-    """Random faults in any order; then all heals and everything must agree again."""
+    """Random faults in any order; after they end, all instances must agree again."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/packages/agreement/tests/test_membership_faults.py
+++ b/packages/agreement/tests/test_membership_faults.py
@@ -62,9 +62,9 @@
 
     def test_a_one_way_cut_between_two_instances_is_no_death(self) -> None:
         """
-        A switch drops what entry-1 sends to entry-5, but not the other way. Without indirect
-        probes, entry-1 takes entry-5 for dead, and the fleet loses a healthy instance. Here both
-        stay, and after a few rounds entry-1 shows the path as cut.
+        A switch drops what entry-1 sends to entry-5, but not the other direction. Without indirect
+        probes, entry-1 would declare entry-5 dead, and the fleet would lose a healthy instance.
+        Both must stay, and after a few rounds entry-1 reports the path as cut.
         """
         for senders, receivers in (((1,), (5,)), ((5,), (1,))):
             with self.subTest(senders=senders):
@@ -98,9 +98,9 @@
 
     def test_an_instance_that_nobody_hears_is_dropped_and_comes_back(self) -> None:
         """
-        All that entry-4 sends is lost, while it still hears the others. The fleet rightly drops
-        it. After ten minutes the path is mended, and entry-4 must be seen again within seconds,
-        although everyone holds a newer record of its death.
+        All that entry-4 sends is lost, while it still hears the others. The fleet rightly removes
+        it. After ten minutes the path works again, and entry-4 must be live again within seconds,
+        although all instances hold a record that it is dead.
         """
         fleet, checker = start_fleet()
         fleet.cut_one_way((4,), range(12))
@@ -113,9 +113,9 @@
 
     def test_a_frozen_instance_returns_without_removing_others(self) -> None:
         """
-        entry-3 is stopped by SIGSTOP for five minutes and goes on. It finds that nobody answered
-        it all that time; judging by the clock, it would declare the whole fleet dead and spread
-        that. It must come back, and no other instance may be removed meanwhile.
+        entry-3 is stopped by SIGSTOP for five minutes and continues. It has had no answer all that
+        time; by the wall clock it would declare the whole fleet dead and spread that. It must be
+        live again, and no other instance may be removed meanwhile.
         """
         fleet, checker = start_fleet()
         fleet.freeze(3)
@@ -135,8 +135,8 @@
 
     def test_a_restart_supersedes_the_earlier_life(self) -> None:
         """
-        entry-2 is killed and started again before anyone noticed, and once after everyone has
-        declared it dead. Its old record, still travelling, must not hide the new life.
+        entry-2 is killed and started again, once before any instance has noticed, and once after it
+        was declared dead. Its old record, still spreading, must not supersede the new one.
         """
         for pause in (0.2, 30.0):
             with self.subTest(pause=pause):
@@ -151,7 +151,7 @@
     def test_a_restart_with_the_wall_clock_set_back_supersedes_all_the_same(self) -> None:
         """
         The machine of entry-2 reboots and its clock is ten minutes behind, so its new incarnation
-        is lower than the one everybody knows. The others must hear it refute and see it alive.
+        is lower than the known one. It must refute the old record, so that the others see it alive.
         """
         fleet, checker = start_fleet()
         fleet.run(60.0)
@@ -173,8 +173,8 @@
 
     def test_a_partition_of_failure_domains_heals(self) -> None:
         """
-        A failure domain is cut off for a minute, or for so long that each side has forgotten the
-        dead of the other; nobody then has an address to probe but the seeds. Both must heal.
+        A failure domain is cut off for a minute, or for so long that each side has removed the dead
+        instances of the other; then only the seeds' addresses are left to probe. Both must heal.
         """
         for seconds in (60.0, 200.0):
             with self.subTest(seconds=seconds):
@@ -190,8 +190,8 @@
 
     def test_a_cut_heals_although_no_seed_is_left(self) -> None:
         """
-        The instances named as seeds were taken out of service long ago. A failure domain is cut
-        off for a minute; afterwards only the addresses of the dead lead to the other side.
+        The instances named as seeds were removed long ago. A failure domain is cut off for a
+        minute; afterwards only the addresses of the dead instances lead to the other side.
         """
         fleet, checker = start_fleet()
         for number in (0, 1, 2):
@@ -205,8 +205,8 @@
 
     def test_a_side_that_restarted_behind_the_cut_is_found_through_seeds(self) -> None:
         """
-        All instances of a cut-off failure domain restart, and the others forget them before the
-        cut heals. No side knows an address of the other but the seeds in the settings.
+        All instances of a cut-off failure domain restart, and the others remove their records
+        before the cut heals. Each side knows no address of the other but the seeds in the settings.
         """
         fleet, checker = start_fleet(limits=SHORT)
         island = [0, 3, 6, 9]
@@ -234,7 +234,7 @@
     def test_a_mass_restart_settles(self) -> None:
         """
         A bad configuration push restarts 40 of 48 instances within two seconds. All must see each
-        other again within seconds, none of the earlier lives may stay.
+        other again within seconds, and no record from before the restarts may stay.
         """
         fleet, checker = start_fleet(48)
         for number in range(40):
--- a/packages/agreement/tests/test_membership_parts.py
+++ b/packages/agreement/tests/test_membership_parts.py
@@ -166,8 +166,8 @@
 
     def test_lost_servers_are_listed_while_they_outnumber_the_others(self) -> None:
         """
-        Five servers of a service are lost within a moment, because announcements don't get
-        through. Listing only what is left would overrun it.
+        Five servers of a service are lost at once, because announcements don't get through. If only
+        the remaining servers were listed, they would be overloaded.
         """
         records = [make_server(number) for number in range(8)]
         for record in records:
--- a/packages/agreement/tests/test_membership_steps.py
+++ b/packages/agreement/tests/test_membership_steps.py
@@ -94,8 +94,8 @@
 
     def test_a_drain_heard_by_heartbeat_is_news(self) -> None:
         """
-        The entry that a leaving server told is killed before its rumours arrive, but a heartbeat
-        got through to a watcher. The watcher must take the drain in and pass it on.
+        The entry that received a server's drain is killed before its rumours arrive, but a
+        heartbeat reached a watcher. The watcher must apply the drain and send it on.
         """
         self.receive(wrap(Rumour(), READY))
         heartbeat = Heartbeat(READY.server_id, 1, 6, ServerState.DRAINING)
@@ -108,8 +108,8 @@
 
     def test_a_dead_instance_is_told_first(self) -> None:
         """
-        An instance that was declared dead behind a cut probes one that believes it. The answer
-        must say so, or it takes part for long without being counted.
+        An instance was declared dead while it was cut off, and probes one that holds that record.
+        The answer must carry the record, or the instance runs for long without counting as live.
         """
         self.receive(wrap(Rumour(), make_member(3, state=2), sender=2))
         answers = list_sends(self.receive(wrap(Ping(7), sender=3)), Ack)
@@ -124,8 +124,8 @@
 
     def test_what_waited_in_the_sockets_of_a_long_pause_is_dropped(self) -> None:
         """
-        A virtual machine is paused for a day and goes on. Its sockets hold rumours and an
-        announcement of a server that stopped long ago, and whose tombstone all have forgotten.
+        A virtual machine is paused for a day and continues. Its sockets hold rumours and an
+        announcement of a server that stopped long ago, and whose tombstone all have removed.
         """
         self.now += LIMITS.stopped_retention
         self.receive(wrap(Rumour(), READY))
@@ -162,8 +162,8 @@
 
     def test_a_probe_that_a_pause_interrupted_judges_nobody(self) -> None:
         """
-        The process is paused between a ping and its answer. Were the round ended by the clock, the
-        target would be suspected at once after every pause.
+        The process is paused between a ping and its answer. If the clock ended the round, the
+        target would be suspected right after every pause.
         """
         while not list_sends(self.step(), Ping):
             pass
@@ -173,8 +173,8 @@
 
     def test_a_watcher_contradicts_a_loss_that_it_knows_better(self) -> None:
         """
-        Two watchers that hear little declare a server lost, while the third has just heard it.
-        Its contradiction must not wait for the server's next announcement.
+        Two watchers that missed heartbeats declare a server lost, while the third has just heard
+        it. The third must refute the loss before the server's next announcement.
         """
         own = self.fleet.members.own.instance_id
         choice = self.fleet.heartbeats.choice
--- a/packages/agreement/tests/test_registration.py
+++ b/packages/agreement/tests/test_registration.py
@@ -39,9 +39,9 @@
         return decode_registration(server_id, record.body)
 
     def test_a_late_word_changes_nothing(self) -> None:
-        """A server's heartbeat is held up by a cut, and arrives after its later ones.
+        """A server's heartbeat is delayed by a cut, and arrives after its later ones.
 
-        Taken as news, it would send work to a server that is leaving or has left.
+        If it were applied, requests would go to a server that is draining or has stopped.
         """
         cases = [
             ("older sequence", [DRAINING, READY], RegisteredState.DRAINING),
@@ -60,10 +60,10 @@
         self.assertEqual(self.configuration.revision, 1)
 
     def test_an_address_belongs_to_the_server_that_started_last(self) -> None:
-        """A server crashes without a word, and its address is given to one of another service.
+        """A server crashes without a message, and a server of another service gets its address.
 
-        Two servers at one address would have requests of the first service sent to the second.
-        A heartbeat of the crashed one that was held up must not take the address back either.
+        With two servers at one address, requests for the first service would go to the second. A
+        delayed heartbeat of the crashed server must not claim the address back either.
         """
         newer = replace(READY, server_id="s2", service="fees", boot=200)
         late = replace(READY, sequence=7)
@@ -89,10 +89,11 @@
         self.assertEqual(self.find(), DRAINING)
 
     def test_ended_servers_are_forgotten_in_the_order_of_their_ends(self) -> None:
-        """A release a day replaces every server by one of a new name, for a year.
+        """For a year, a release each day replaces every server by one with a new name.
 
-        Each keeper and entry would hold all servers that ever were. Those that ended last stay, so
-        that a late word of theirs still changes nothing; a snapshot must not change which they are.
+        Without a bound, each keeper and entry would hold all servers that ever ran. The ones that
+        stopped last are kept, so that a late heartbeat of theirs still has no effect; a snapshot
+        must not change which ones are kept.
         """
         self.configuration = Configuration("fleet", ended_kept=2)
         names = ["s4", "s2", "s3", "s1"]
--- a/packages/agreement/tests/test_routing_record.py
+++ b/packages/agreement/tests/test_routing_record.py
@@ -33,7 +33,7 @@
     def test_the_highest_version_is_in_force_whatever_the_order(self) -> None:
         """Two operators send versions through two keepers, and an older one is delivered late.
 
-        Every one is acknowledged, but what was in force must never go back.
+        Every version is acknowledged, but an older one must never replace a newer one.
         """
         for version in (3, 7, 5, 7, 2):
             verdict = self.put(version, b"document %d" % version)
