--- a/packages/agreement/src/persimmonusher_agreement/anti_entropy.py
+++ b/packages/agreement/src/persimmonusher_agreement/anti_entropy.py
@@ -20,14 +20,14 @@
     Summary,
 )
 from persimmonusher_agreement.record import Record
-from persimmonusher_agreement.record_store import BUCKETS, BUCKETS_IN_GROUP, GROUPS, RecordStore
+from persimmonusher_agreement.record_store import BUCKETS, BUCKETS_PER_GROUP, GROUPS, RecordStore
 
-ENTRY_BYTES: Final = 16
+SUMMARY_ENTRY_BYTES: Final = 16
 """Key hash and fingerprint of one record in a summary."""
-BUCKET_BYTES: Final = 2
+SUMMARY_BUCKET_BYTES: Final = 2
 MAX_GROUPS: Final = 8
 MAX_SUMMARIES: Final = 4
-REPAIR_BYTES: Final = 1100
+MAX_REPAIR_BYTES: Final = 1100
 MAX_REPAIRS: Final = 8
 """Datagrams of records in one answer: 9 KB, some 80 records. An instance that lacks more starts
 another exchange, with another peer, when these have arrived."""
@@ -53,7 +53,7 @@
     @property
     def is_small(self) -> bool:
         """Return whether all live records fit one summary, so that no digests are needed."""
-        return self._store.live_count * ENTRY_BYTES <= self._summary_bytes
+        return self._store.live_count * SUMMARY_ENTRY_BYTES <= self._summary_bytes
 
     def start(self) -> Summary | GroupDigests:
         """Return the first message of an exchange."""
@@ -72,9 +72,9 @@
         """Return summaries of buckets that differ, at most `MAX_SUMMARIES`."""
         if not 0 <= message.group < GROUPS:
             return ()
-        start = message.group * BUCKETS_IN_GROUP
+        start = message.group * BUCKETS_PER_GROUP
         ours = self._store.list_buckets(message.group)
-        pairs = zip(range(BUCKETS_IN_GROUP), message.digests, ours, strict=False)
+        pairs = zip(range(BUCKETS_PER_GROUP), message.digests, ours, strict=False)
         differing = [start + place for place, theirs, mine in pairs if theirs != mine]
         self._random.shuffle(differing)
         return self._pack(differing)[:MAX_SUMMARIES]
@@ -107,7 +107,9 @@
         records: list[Record] = []
         for bucket in buckets:
             more = self._store.list_live((bucket,))
-            size = (len(records) + len(more)) * ENTRY_BYTES + (len(chosen) + 1) * BUCKET_BYTES
+            size = (len(records) + len(more)) * SUMMARY_ENTRY_BYTES + (
+                len(chosen) + 1
+            ) * SUMMARY_BUCKET_BYTES
             if chosen and size > self._summary_bytes:
                 summaries.append(_summarize(chosen, records))
                 chosen, records = [], []
--- a/packages/agreement/src/persimmonusher_agreement/change_check.py
+++ b/packages/agreement/src/persimmonusher_agreement/change_check.py
@@ -26,10 +26,10 @@
 
 ROUTE_FORM: Final = "HOST/PREFIX or */PREFIX, the host in lower case and without a port"
 
-REFERENCES: Final = {ObjectKind.SERVICE: "profile", ObjectKind.ROUTE: "service"}
+REFERENCE_KEYS: Final = {ObjectKind.SERVICE: "profile", ObjectKind.ROUTE: "service"}
 """The key in the body whose value names the object that is referred to."""
 
-REFERRED_KINDS: Final = {
+REFERENCED_KINDS: Final = {
     ObjectKind.SERVICE: ObjectKind.PROFILE,
     ObjectKind.ROUTE: ObjectKind.SERVICE,
 }
@@ -37,9 +37,9 @@
 
 def find_reference(key: ObjectKey, body: str | None) -> ObjectKey | None:
     """Return the object that a service or route refers to, or None for other kinds."""
-    if body is None or key.kind not in REFERENCES:
+    if body is None or key.kind not in REFERENCE_KEYS:
         return None
-    return ObjectKey(REFERRED_KINDS[key.kind], json.loads(body)[REFERENCES[key.kind]])
+    return ObjectKey(REFERENCED_KINDS[key.kind], json.loads(body)[REFERENCE_KEYS[key.kind]])
 
 
 def check_change(change: Change) -> tuple[Finding, ...]:
@@ -112,7 +112,7 @@
 
 
 def _check_reference(kind: ObjectKind, document: dict[str, object]) -> list[Finding]:
-    wanted = REFERENCES[kind]
+    wanted = REFERENCE_KEYS[kind]
     findings = [
         Finding(ErrorCode.UNKNOWN_KEY, key, f"unknown key; a {kind.value} has only {wanted!r}")
         for key in document
--- a/packages/agreement/src/persimmonusher_agreement/configuration.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Final
 
-from persimmonusher_agreement.change_check import REFERENCES, find_reference
+from persimmonusher_agreement.change_check import REFERENCE_KEYS, find_reference
 from persimmonusher_agreement.configuration_objects import (
     Accepted,
     Batch,
@@ -24,7 +24,7 @@
     StoredVerdict,
     Verdict,
 )
-from persimmonusher_agreement.configuration_store import TOMBSTONES_KEPT, ConfigurationStore
+from persimmonusher_agreement.configuration_store import MAX_TOMBSTONES, ConfigurationStore
 from persimmonusher_agreement.registration import (
     apply_registration,
     decode_registration,
@@ -32,17 +32,17 @@
     supersedes,
 )
 from persimmonusher_agreement.routing_record import read_version
-from persimmonusher_agreement.server_index import ENDED_KEPT, ServerIndex
+from persimmonusher_agreement.server_index import MAX_ENDED_SERVERS, ServerIndex
 from persimmonusher_model.errors import ErrorCode, Finding
 from persimmonusher_model.identifiers import Revision
 
-VERDICTS_KEPT: Final = 65_536
+MAX_VERDICTS: Final = 65_536
 """More than a day's changes at the target's 47,000 a day; operators resend within minutes. A change
 resent after its verdict was dropped still ends in a conflict, because the object's revision is no
 longer the one that the change was based on. Only a create whose object was retired meanwhile could
 be accepted a second time."""
 
-HISTORY_KEPT: Final = 20
+MAX_HISTORY_RECORDS: Final = 20
 """Earlier records kept for each object, for operators who ask what changed."""
 
 
@@ -52,10 +52,10 @@
     def __init__(
         self,
         lineage: str = "",
-        verdicts_kept: int = VERDICTS_KEPT,
-        history_kept: int = HISTORY_KEPT,
-        tombstones_kept: int = TOMBSTONES_KEPT,
-        ended_kept: int = ENDED_KEPT,
+        verdicts_kept: int = MAX_VERDICTS,
+        history_kept: int = MAX_HISTORY_RECORDS,
+        tombstones_kept: int = MAX_TOMBSTONES,
+        ended_kept: int = MAX_ENDED_SERVERS,
     ) -> None:
         self._verdicts_kept = verdicts_kept
         self._history_kept = history_kept
@@ -110,12 +110,12 @@
         leader while the first copy was in transit. The verdict is stored by change id in the
         replicated state, so that every keeper answers alike, also after a snapshot.
         """
-        ordered = ORDERED_KINDS.get(change.key.kind)
-        if ordered is not None:
-            return ordered(self, change)
-        given = self.find_verdict(change)
-        if given is not None:
-            return given
+        handler = VERSIONED_HANDLERS.get(change.key.kind)
+        if handler is not None:
+            return handler(self, change)
+        stored = self.find_verdict(change)
+        if stored is not None:
+            return stored
         verdict = self._decide(change)
         self._verdicts[change.change_id] = StoredVerdict(change.change_id, change.digest(), verdict)
         if len(self._verdicts) > self._verdicts_kept:
@@ -147,26 +147,26 @@
         """
         live = self._store.find_live(change.key)
         if read_version(change.body) > read_version(live.body if live else None):
-            self._put_ordered(change.key, change.body, change)
+            self._put_versioned(change.key, change.body, change)
         return Accepted(self._store.revision)
 
     def _apply_server(self, change: Change) -> Verdict:
         """Apply a registration that is newer than the known one; any other has no effect."""
         if change.body is None:
             if self._store.find_live(change.key) is not None:
-                self._put_ordered(change.key, None, change)
+                self._put_versioned(change.key, None, change)
             return Accepted(self._store.revision)
         new = decode_registration(change.key.name, change.body)
         live = self._store.find_live(change.key)
         known = decode_registration(live.key.name, live.body) if live and live.body else None
         if supersedes(new, known):
             for server in apply_registration(new, self._servers.list_rivals(new)):
-                self._put_ordered(server.key, encode_registration(server), change)
+                self._put_versioned(server.key, encode_registration(server), change)
             for key in self._servers.list_expired():
-                self._put_ordered(key, None, change)
+                self._put_versioned(key, None, change)
         return Accepted(self._store.revision)
 
-    def _put_ordered(self, key: ObjectKey, body: str | None, change: Change) -> None:
+    def _put_versioned(self, key: ObjectKey, body: str | None, change: Change) -> None:
         revision = Revision(self._store.revision + 1)
         record = Record(key, revision, body, change.change_id, change.operator)
         if key.kind is ObjectKind.SERVER:
@@ -192,7 +192,7 @@
         target = find_reference(change.key, change.body)
         if target is not None and self._store.find_live(target) is None:
             message = f"there is no {target.kind.value} named {target.name!r}"
-            return (Finding(ErrorCode.NOT_FOUND, REFERENCES[change.key.kind], message),)
+            return (Finding(ErrorCode.NOT_FOUND, REFERENCE_KEYS[change.key.kind], message),)
         return ()
 
     def _append_history(self, latest: Record | None) -> None:
@@ -249,7 +249,7 @@
             self._append_history(record)
 
 
-ORDERED_KINDS: Final[dict[ObjectKind, Callable[[Configuration, Change], Verdict]]] = {
+VERSIONED_HANDLERS: Final[dict[ObjectKind, Callable[[Configuration, Change], Verdict]]] = {
     ObjectKind.DOCUMENT: Configuration._apply_document,
     ObjectKind.SERVER: Configuration._apply_server,
 }
--- a/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
@@ -14,7 +14,7 @@
 from persimmonusher_agreement.configuration import Configuration
 from persimmonusher_agreement.configuration_objects import Change, Invalid, Verdict
 from persimmonusher_agreement.keeper_members import (
-    SILENT_SECONDS,
+    SILENT_VOTER_SECONDS,
     add_learner,
     plan_promotion,
     remove_keeper,
@@ -137,7 +137,7 @@
         step = plan_promotion(
             self._replica.log.members,
             self._replica.list_caught_up(),
-            self._replica.list_silent(now, SILENT_SECONDS),
+            self._replica.list_silent(now, SILENT_VOTER_SECONDS),
             self._tolerance.voters,
         )
         if step is not None:
@@ -149,9 +149,9 @@
         Any keeper answers the resend of a decided change from the replicated verdicts. Any other
         change needs the leader: raises NOT_LEADER elsewhere.
         """
-        given = self.configuration.find_verdict(change)
-        if given is not None:
-            return given
+        stored = self.configuration.find_verdict(change)
+        if stored is not None:
+            return stored
         if not self._replica.is_leader:
             raise UsherError(ErrorCode.NOT_LEADER, f"{self._replica.keeper} is not the leader")
         findings = check_change(change)
--- a/packages/agreement/src/persimmonusher_agreement/configuration_store.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_store.py
@@ -10,7 +10,7 @@
 from persimmonusher_agreement.configuration_objects import Batch, ObjectKey, ObjectKind, Record
 from persimmonusher_model.identifiers import Revision
 
-TOMBSTONES_KEPT: Final = 50_000
+MAX_TOMBSTONES: Final = 50_000
 """About a day's changes at the target's 47,000 a day, if all were retirements. A replica that was
 away longer gets a whole batch instead, so the bound costs bytes but never correctness."""
 
@@ -18,7 +18,7 @@
 class ConfigurationStore:
     """Latest records by key and by revision; the revision never falls."""
 
-    def __init__(self, lineage: str = "", tombstones_kept: int = TOMBSTONES_KEPT) -> None:
+    def __init__(self, lineage: str = "", tombstones_kept: int = MAX_TOMBSTONES) -> None:
         self.lineage = lineage
         self.revision = Revision(0)
         self.tombstone_floor = Revision(0)
--- a/packages/agreement/src/persimmonusher_agreement/directory.py
+++ b/packages/agreement/src/persimmonusher_agreement/directory.py
@@ -16,10 +16,10 @@
 from persimmonusher_agreement.server_record import ServerRecord, ServerState
 from persimmonusher_model.identifiers import ServerId, ServiceName
 
-SHARDS: Final = 256
+SHARD_COUNT: Final = 256
 """All servers of a shard have the same watchers: 256 choices among 2,500 instances can be updated
 within milliseconds, 110,000 can't. Each instance watches 256 x 3 / 2,500 shards of 430 servers."""
-EMPTY: Final[Mapping[ServerId, ServerRecord]] = MappingProxyType({})
+NO_SERVERS: Final[Mapping[ServerId, ServerRecord]] = MappingProxyType({})
 
 Group = dict[ServerId, ServerRecord]
 
@@ -97,9 +97,9 @@
         requests finds out which answer. After `lost_listing` seconds a lost server isn't listed any
         more, unless the service has no live one.
         """
-        live = self._live.get(service, EMPTY)
-        unconfirmed = self._unconfirmed.get(service, EMPTY)
-        lost = self._lost.get(service, EMPTY)
+        live = self._live.get(service, NO_SERVERS)
+        unconfirmed = self._unconfirmed.get(service, NO_SERVERS)
+        lost = self._lost.get(service, NO_SERVERS)
         listed = (*live.values(), *unconfirmed.values())
         return (*listed, *lost.values()) if len(lost) > len(listed) else listed
 
@@ -109,7 +109,7 @@
 
     def list_shard(self, shard: int) -> Mapping[ServerId, ServerRecord]:
         """Return the live servers of one shard."""
-        return self._by_shard.get(shard, EMPTY)
+        return self._by_shard.get(shard, NO_SERVERS)
 
     def version(self, service: ServiceName) -> int:
         """Return a number that rises whenever `list_servers` changes."""
@@ -185,7 +185,7 @@
         same, and so on for hours, until the cut heals and the rest of the fleet learns it too. So
         on the smaller side of a cut, only newer records confirm a server.
         """
-        unconfirmed = self._unconfirmed.get(record.service, EMPTY).get(record.server_id)
+        unconfirmed = self._unconfirmed.get(record.service, NO_SERVERS).get(record.server_id)
         if unconfirmed is None or record.supersedes(unconfirmed):
             return record
         return unconfirmed if self.may_confirm else None
@@ -209,4 +209,4 @@
 
 def find_shard(server_id: ServerId) -> int:
     """Return the shard of a server, whose watchers receive the server's heartbeats."""
-    return hash_key(f"s/{server_id}") % SHARDS
+    return hash_key(f"s/{server_id}") % SHARD_COUNT
--- a/packages/agreement/src/persimmonusher_agreement/exchanges.py
+++ b/packages/agreement/src/persimmonusher_agreement/exchanges.py
@@ -5,8 +5,8 @@
 from typing import Final
 
 from persimmonusher_agreement.anti_entropy import (
+    MAX_REPAIR_BYTES,
     MAX_REPAIRS,
-    REPAIR_BYTES,
     AntiEntropy,
     split_records,
 )
@@ -28,7 +28,7 @@
 """Records in one answer from which on this instance considers itself behind the others."""
 REPAIR_TRANSMISSIONS: Final = 3
 MAX_WANTED_WITH_RECORDS: Final = 16
-"""Key hashes that fit a datagram beside `REPAIR_BYTES` of records."""
+"""Key hashes that fit a datagram beside `MAX_REPAIR_BYTES` of records."""
 
 
 class Exchanges:
@@ -94,7 +94,7 @@
 
     def repair(self, peer: str, records: Sequence[Record], wanted: tuple[int, ...] = ()) -> None:
         """Send records, and the key hashes wanted, to a peer in at most `MAX_REPAIRS` pieces."""
-        pieces = split_records(records, REPAIR_BYTES)[:MAX_REPAIRS]
+        pieces = split_records(records, MAX_REPAIR_BYTES)[:MAX_REPAIRS]
         if len(wanted) > MAX_WANTED_WITH_RECORDS or not pieces:
             pieces.insert(0, ())
         for place, piece in enumerate(pieces):
--- a/packages/agreement/src/persimmonusher_agreement/freshness.py
+++ b/packages/agreement/src/persimmonusher_agreement/freshness.py
@@ -14,9 +14,9 @@
 from persimmonusher_agreement.log_messages import MajorityContact
 from persimmonusher_model.identifiers import Revision
 
-ANSWERS_KEPT: Final = 256
+MAX_ANSWERS: Final = 256
 """Answers whose times are kept: far more than the answers that are in transit to a live leader."""
-GRANTS_KEPT: Final = 16
+MAX_WAITING_GRANTS: Final = 16
 """Grants that may wait for their revision to be applied; while all are used, new ones are
 dropped."""
 
@@ -45,7 +45,7 @@
         """Return the number for an answer that is made at this reading of the clock."""
         self._last_answer += 1
         self._answered_at[self._last_answer] = reading
-        self._answered_at.pop(self._last_answer - ANSWERS_KEPT, None)
+        self._answered_at.pop(self._last_answer - MAX_ANSWERS, None)
         return self._last_answer
 
     def record_contact(self, contact: MajorityContact) -> None:
@@ -97,7 +97,7 @@
         known_at = asked_at - age
         if revision <= held:
             self._known_at = max(self._known_at, known_at)
-        elif len(self._grants) < GRANTS_KEPT:
+        elif len(self._grants) < MAX_WAITING_GRANTS:
             self._grants.append(Grant(known_at, revision))
 
     def hold(self, revision: Revision) -> None:
--- a/packages/agreement/src/persimmonusher_agreement/keeper_members.py
+++ b/packages/agreement/src/persimmonusher_agreement/keeper_members.py
@@ -21,7 +21,7 @@
 
 NO_DOMAINS: Final[Mapping[KeeperId, str]] = MappingProxyType({})
 NO_KEEPERS: Final[Set[KeeperId]] = frozenset()
-SILENT_SECONDS: Final = 3.0
+SILENT_VOTER_SECONDS: Final = 3.0
 """A voter that doesn't answer for longer is replaced, once a learner has caught up. Longer than an
 election and a restart, so that a keeper that merely restarts stays a voter."""
 
--- a/packages/agreement/src/persimmonusher_agreement/log_leadership.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_leadership.py
@@ -16,9 +16,9 @@
 )
 from persimmonusher_agreement.log_timing import LogTiming
 
-BATCH_ENTRIES: Final = 256
+MAX_BATCH_ENTRIES: Final = 256
 """Entries in one message at most, so that a replica far behind doesn't delay heartbeats."""
-ROUNDS_KEPT: Final = 64
+MAX_ROUNDS: Final = 64
 """Rounds whose send times are kept; the answer to an earlier round doesn't count as contact."""
 NO_ROUND: Final = -1
 NEVER: Final = float("-inf")
@@ -105,7 +105,7 @@
         """Send a new round to all members and return its number."""
         self.round += 1
         self._sent_at[self.round] = self._clock.reading
-        self._sent_at.pop(self.round - ROUNDS_KEPT, None)
+        self._sent_at.pop(self.round - MAX_ROUNDS, None)
         self.broadcast(commit)
         return self.round
 
@@ -157,7 +157,7 @@
         if previous_term is None:
             self._send_snapshot(peer, progress)
             return
-        entries = self._log.list_from(progress.next_index, BATCH_ENTRIES)
+        entries = self._log.list_from(progress.next_index, MAX_BATCH_ENTRIES)
         progress.next_index += len(entries)
         contact = self._describe_contact(progress, commit)
         progress.has_contact |= contact is not None
--- a/packages/agreement/src/persimmonusher_agreement/membership.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership.py
@@ -17,7 +17,7 @@
 from typing import Any, Final
 
 from persimmonusher_agreement.active_time import ActiveTime
-from persimmonusher_agreement.anti_entropy import REPAIR_BYTES, split_records
+from persimmonusher_agreement.anti_entropy import MAX_REPAIR_BYTES, split_records
 from persimmonusher_agreement.directory import Announced, Directory
 from persimmonusher_agreement.exchanges import Exchanges
 from persimmonusher_agreement.gossip import GossipQueue, count_transmissions
@@ -115,7 +115,7 @@
     @property
     def is_heard(self) -> bool:
         """Return whether others answer this instance, or it is the whole fleet."""
-        return self.members.is_alone or self.prober.is_answered(self._time.seconds)
+        return self.members.is_alone or self.prober.has_recent_answer(self._time.seconds)
 
     def set_revision(self, revision: Revision) -> None:
         """Set the configuration revision in force here, which every message carries."""
@@ -308,7 +308,7 @@
         """
         own = self.members.own
         ack = Outgoing(source, envelope.sender, Ack(join.sequence, own.instance_id))
-        dead = split_records(self.members.dead.values(), REPAIR_BYTES - own.size)
+        dead = split_records(self.members.dead.values(), MAX_REPAIR_BYTES - own.size)
         self._outbox.send(ack, (own, *(dead[0] if dead else ())))
 
     def _handle_rumour(self, body: Body, envelope: Envelope, source: str, active: float) -> None:
--- a/packages/agreement/src/persimmonusher_agreement/outbox.py
+++ b/packages/agreement/src/persimmonusher_agreement/outbox.py
@@ -23,7 +23,7 @@
 
 HEADER_BYTES: Final = 110
 """Headers of IP and UDP (28), tag (16), sender, revision, digest and a small body, as encoded."""
-UPDATES_BYTES: Final = 1100
+MAX_UPDATES_BYTES: Final = 1100
 """Room for updates in a datagram of 1,400 bytes."""
 EXCHANGE_RESERVE_SHARE: Final = 0.25
 """Share of the burst reserved for exchanges: in a flood of rumours they repair more with fewer
@@ -71,7 +71,7 @@
         """Send a message with the given updates and, if it is small, queued ones that fit."""
         urgent = (*self._list_subject_records(outgoing), *updates)
         if isinstance(outgoing.body, PIGGYBACKING_BODIES):
-            room = UPDATES_BYTES - sum(record.size for record in urgent)
+            room = MAX_UPDATES_BYTES - sum(record.size for record in urgent)
             urgent = (*urgent, *self._queue.take(room))
         self._budget.spend(HEADER_BYTES + sum(record.size for record in urgent))
         envelope = Envelope(
@@ -85,7 +85,7 @@
             return
         short = self._is_budget_short(active)
         for peer in self._choose_peers():
-            records = self._queue.take(UPDATES_BYTES, urgent_only=short)
+            records = self._queue.take(MAX_UPDATES_BYTES, urgent_only=short)
             if records:
                 self.send(Outgoing(peer.peer_address, peer.instance_id, Rumour()), records)
 
--- a/packages/agreement/src/persimmonusher_agreement/probing.py
+++ b/packages/agreement/src/persimmonusher_agreement/probing.py
@@ -53,8 +53,8 @@
     sequence: int
     started: float
     has_asked_helpers: bool = False
-    direct: bool = False
-    indirect: bool = False
+    answered_directly: bool = False
+    answered_indirectly: bool = False
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,7 @@
         limit = self._limits.cut_rounds
         return frozenset(name for name, count in self._indirect_rounds.items() if count >= limit)
 
-    def is_answered(self, active: float) -> bool:
+    def has_recent_answer(self, active: float) -> bool:
         """Return whether a probe was answered within `unanswered_seconds`."""
         return active - self._last_answer < self._limits.unanswered_seconds
 
@@ -104,7 +104,7 @@
             return step
         step = ProbeStep()
         running = self._round
-        if running is None or running.has_asked_helpers or running.direct:
+        if running is None or running.has_asked_helpers or running.answered_directly:
             return step
         if active - running.started >= self._limits.direct_timeout:
             running.has_asked_helpers = True
@@ -139,9 +139,9 @@
             return []
         self._last_answer = active
         if sender == ack.subject:
-            running.direct = True
+            running.answered_directly = True
         else:
-            running.indirect = True
+            running.answered_indirectly = True
         return []
 
     def _start_round(self, active: float, step: ProbeStep) -> None:
@@ -198,10 +198,10 @@
         if running is None or running.target.instance_id not in self._table.live:
             return step
         name = running.target.instance_id
-        if running.direct:
+        if running.answered_directly:
             if self._indirect_rounds.pop(name, 0) >= self._limits.cut_rounds:
                 step.path = PathRestored(name)
-        elif running.indirect:
+        elif running.answered_indirectly:
             rounds = self._indirect_rounds.get(name, 0) + 1
             self._indirect_rounds[name] = rounds
             if rounds == self._limits.cut_rounds:
--- a/packages/agreement/src/persimmonusher_agreement/record_store.py
+++ b/packages/agreement/src/persimmonusher_agreement/record_store.py
@@ -12,8 +12,8 @@
 from persimmonusher_agreement.record import Record
 
 GROUPS: Final = 64
-BUCKETS_IN_GROUP: Final = 64
-BUCKETS: Final = GROUPS * BUCKETS_IN_GROUP
+BUCKETS_PER_GROUP: Final = 64
+BUCKETS: Final = GROUPS * BUCKETS_PER_GROUP
 
 
 class RecordStore:
@@ -67,8 +67,8 @@
 
     def list_buckets(self, group: int) -> tuple[int, ...]:
         """Return the digest of each bucket of a group."""
-        start = group * BUCKETS_IN_GROUP
-        return tuple(self._bucket_digests[start : start + BUCKETS_IN_GROUP])
+        start = group * BUCKETS_PER_GROUP
+        return tuple(self._bucket_digests[start : start + BUCKETS_PER_GROUP])
 
     def list_live(self, buckets: Iterable[int]) -> list[Record]:
         """List the live records in some buckets; no bucket means all."""
@@ -99,5 +99,5 @@
 
     def _toggle_digest(self, bucket: int, fingerprint: int) -> None:
         self._bucket_digests[bucket] ^= fingerprint
-        self._group_digests[bucket // BUCKETS_IN_GROUP] ^= fingerprint
+        self._group_digests[bucket // BUCKETS_PER_GROUP] ^= fingerprint
         self.digest ^= fingerprint
--- a/packages/agreement/src/persimmonusher_agreement/server_index.py
+++ b/packages/agreement/src/persimmonusher_agreement/server_index.py
@@ -11,7 +11,7 @@
     decode_registration,
 )
 
-ENDED_KEPT: Final = 4_096
+MAX_ENDED_SERVERS: Final = 4_096
 """Stopped registrations that are kept, so that a late registration of such a server has no effect.
 It may come seconds late; at 15,000 restarts a day these are the ones that stopped within six
 hours."""
@@ -24,7 +24,7 @@
     the stopped servers that are kept, each keeper and entry would hold every server that ever ran.
     """
 
-    def __init__(self, ended_kept: int = ENDED_KEPT) -> None:
+    def __init__(self, ended_kept: int = MAX_ENDED_SERVERS) -> None:
         self._ended_kept = ended_kept
         self._live: dict[ObjectKey, Registration] = {}
         self._by_address: dict[str, set[ObjectKey]] = {}
--- a/packages/agreement/src/persimmonusher_agreement/watch.py
+++ b/packages/agreement/src/persimmonusher_agreement/watch.py
@@ -88,11 +88,11 @@
     def learn(self, record: ServerRecord, active: float) -> None:
         """Count a new record of a watched server as a sign of life, unless it is a tombstone."""
         if not record.is_tombstone and record.server_id in self._heard:
-            self._note(record.server_id, record.boot_id, record.sequence, active)
+            self._record_heartbeat(record.server_id, record.boot_id, record.sequence, active)
 
-    def hear(self, heartbeat: Heartbeat, active: float) -> None:
+    def record(self, heartbeat: Heartbeat, active: float) -> None:
         """Record a heartbeat, whichever entry forwarded it."""
-        self._note(heartbeat.server_id, heartbeat.boot_id, heartbeat.sequence, active)
+        self._record_heartbeat(heartbeat.server_id, heartbeat.boot_id, heartbeat.sequence, active)
 
     def find_newer(self, lost: ServerRecord, active: float) -> ServerRecord | None:
         """Return a newer record that refutes a loss if the server was heard since, else None."""
@@ -133,7 +133,7 @@
             return
         if reply.heard:
             heard_at = active - reply.age_milliseconds / 1000
-            self._note(reply.server_id, reply.boot_id, reply.sequence, heard_at)
+            self._record_heartbeat(reply.server_id, reply.boot_id, reply.sequence, heard_at)
         elif reply.silent:
             inquiry.silent.add(sender)
             inquiry.sequence = max(inquiry.sequence, reply.sequence)
@@ -154,7 +154,9 @@
             del self._inquiries[server_id]
         return watched
 
-    def _note(self, server_id: ServerId, boot_id: int, sequence: int, at: float) -> None:
+    def _record_heartbeat(
+        self, server_id: ServerId, boot_id: int, sequence: int, at: float
+    ) -> None:
         heard = self._heard.get(server_id)
         if heard is not None and (boot_id, sequence) < (heard.boot_id, heard.sequence):
             return
--- a/packages/agreement/src/persimmonusher_agreement/watchers.py
+++ b/packages/agreement/src/persimmonusher_agreement/watchers.py
@@ -3,12 +3,12 @@
 from collections.abc import Mapping
 from typing import Final
 
-from persimmonusher_agreement.directory import SHARDS, find_shard
+from persimmonusher_agreement.directory import SHARD_COUNT, find_shard
 from persimmonusher_agreement.member_record import MemberRecord
 from persimmonusher_model.identifiers import InstanceId, ServerId
 from persimmonusher_model.rendezvous import choose_spread, weigh
 
-HASHES_PER_STEP: Final = 20_000
+MAX_HASHES_PER_STEP: Final = 20_000
 """Hashes in one step to choose watchers again, so that a step doesn't delay datagrams in a large
 fleet."""
 MIN_SHARDS_PER_STEP: Final = 8
@@ -29,7 +29,7 @@
         self._count = count
         self._domains: dict[str, str] = {}
         self._chosen: dict[int, tuple[InstanceId, ...]] = {}
-        self._stale: set[int] = set(range(SHARDS))
+        self._stale: set[int] = set(range(SHARD_COUNT))
         self._own_shards: dict[int, None] = {}
         self._changes = -1
 
@@ -43,7 +43,7 @@
         gone = {name for name in self._domains if domains.get(name) != self._domains[name]}
         self._domains = domains
         if len(added) > MAX_ADDED_COMPARED:
-            self._stale = set(range(SHARDS))
+            self._stale = set(range(SHARD_COUNT))
             return
         for shard, chosen in self._chosen.items():
             if gone.intersection(chosen) or self._is_outranked(shard, chosen, added):
@@ -55,7 +55,7 @@
 
     def list_own_shards(self) -> list[int]:
         """List the shards that this instance watches; choose again for some stale shards first."""
-        step = max(MIN_SHARDS_PER_STEP, HASHES_PER_STEP // max(1, len(self._domains)))
+        step = max(MIN_SHARDS_PER_STEP, MAX_HASHES_PER_STEP // max(1, len(self._domains)))
         for shard in sorted(self._stale)[:step]:
             self.list_shard_watchers(shard)
         return list(self._own_shards)
--- a/packages/agreement/tests/test_log_script.py
+++ b/packages/agreement/tests/test_log_script.py
@@ -89,7 +89,7 @@
         self.cluster.crash("k3")
         self.bag.clear()
         self.cluster.start("k1", self.now)
-        with mock.patch.object(log_leadership, "BATCH_ENTRIES", 1):
+        with mock.patch.object(log_leadership, "MAX_BATCH_ENTRIES", 1):
             self.elect("k1", "k2")
             reply = None
             while not (isinstance(reply, AppendReply) and reply.success):
