--- a/packages/agreement/src/persimmonusher_agreement/server_heartbeats.py
+++ b/packages/agreement/src/persimmonusher_agreement/server_heartbeats.py
@@ -38,7 +38,7 @@
         outgoing: list[Outgoing] = []
         for name in self.choice.list_watchers(record.server_id):
             if name == own:
-                self.watch.record(heartbeat, active)
+                self.watch.receive(heartbeat, active)
                 continue
             address = self._table.live[name].peer_address
             outgoing.append(Outgoing(address, name, heartbeat))
@@ -49,7 +49,7 @@
         record = self._directory.find(heartbeat.server_id)
         if record is None or record.boot_id != heartbeat.boot_id:
             return None
-        self.watch.record(heartbeat, active)
+        self.watch.receive(heartbeat, active)
         if heartbeat.sequence <= record.sequence:
             return None
         if heartbeat.state is record.state and not record.lost:
--- a/packages/agreement/src/persimmonusher_agreement/watch.py
+++ b/packages/agreement/src/persimmonusher_agreement/watch.py
@@ -90,7 +90,7 @@
         if not record.is_tombstone and record.server_id in self._heard:
             self._record_heartbeat(record.server_id, record.boot_id, record.sequence, active)
 
-    def record(self, heartbeat: Heartbeat, active: float) -> None:
+    def receive(self, heartbeat: Heartbeat, active: float) -> None:
         """Record a heartbeat, whichever entry forwarded it."""
         self._record_heartbeat(heartbeat.server_id, heartbeat.boot_id, heartbeat.sequence, active)
 
