--- a/packages/agreement/src/persimmonusher_agreement/configuration.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration.py
@@ -184,10 +184,10 @@
         kind, name = change.key.kind.value, change.key.name
         if change.body is None and live is None:
             return (Finding(ErrorCode.NOT_FOUND, "name", f"there is no {kind} named {name!r}"),)
-        users = self._referrers.get(change.key)
-        if change.body is None and users:
-            first = min(users, key=lambda user: user.name)
-            message = f"{kind} {name!r} is used by {len(users)}, first {first.name!r}"
+        referrers = self._referrers.get(change.key)
+        if change.body is None and referrers:
+            first = min(referrers, key=lambda referrer: referrer.name)
+            message = f"{kind} {name!r} is used by {len(referrers)}, first {first.name!r}"
             return (Finding(ErrorCode.IN_USE, "name", message),)
         target = find_reference(change.key, change.body)
         if target is not None and self._store.find_live(target) is None:
--- a/packages/agreement/src/persimmonusher_agreement/log_candidacy.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_candidacy.py
@@ -68,12 +68,12 @@
         is_first, self._is_refused = not self._is_refused, True
         return is_first
 
-    def answer_pre_vote(self, request: PreVoteRequest, has_recent_leader: bool) -> None:
+    def answer_pre_vote(self, request: PreVoteRequest, has_live_leader: bool) -> None:
         """Answer whether this keeper would grant its vote for the requested term."""
         term = self._log.vote.term
         granted = (
             request.term > term
-            and not has_recent_leader
+            and not has_live_leader
             and self._log.is_newer_or_equal(request.last_term, request.last_index)
         )
         answered = request.term if granted else term
--- a/packages/agreement/tests/test_claims.py
+++ b/packages/agreement/tests/test_claims.py
@@ -13,7 +13,7 @@
 from persimmonusher_agreement.roster import Member, Observation, Roster, RosterPlanner
 from persimmonusher_model.identifiers import FailureDomain, InstanceId
 
-WINDOW = 600.0
+WINDOW_SECONDS = 600.0
 NAMES = [InstanceId(name) for name in ("r", "b", "c", "d", "e")]
 
 
@@ -25,7 +25,7 @@
 
 
 def make_request(token: str, version: int = 1, fingerprint: str = "entry") -> ClaimRequest:
-    return ClaimRequest("key", token, fingerprint, version, WINDOW, 10.0)
+    return ClaimRequest("key", token, fingerprint, version, WINDOW_SECONDS, 10.0)
 
 
 class RegisterTest(unittest.TestCase):
@@ -33,7 +33,7 @@
         self.registers = {name: self.start(name, 1) for name in NAMES}
 
     def start(self, name: InstanceId, boot: int, now: float = 0.0) -> Register:
-        register = Register(name, boot, WINDOW, now)
+        register = Register(name, boot, WINDOW_SECONDS, now)
         register.replace_roster(ROSTER)
         return register
 
@@ -79,8 +79,12 @@
     def test_a_key_is_free_again_after_its_window(self) -> None:
         register = self.registers[NAMES[0]]
         register.claim(make_request("t1"), 0.0)
-        self.assertEqual(register.claim(make_request("t2"), WINDOW - 1).kind, VoteKind.TAKEN)
-        self.assertEqual(register.claim(make_request("t2"), WINDOW + 1).kind, VoteKind.GRANTED)
+        self.assertEqual(
+            register.claim(make_request("t2"), WINDOW_SECONDS - 1).kind, VoteKind.TAKEN
+        )
+        self.assertEqual(
+            register.claim(make_request("t2"), WINDOW_SECONDS + 1).kind, VoteKind.GRANTED
+        )
         self.assertEqual(register.record_count, 1)
 
     def test_a_restarted_register_abstains_until_it_has_read_three_peers(self) -> None:
@@ -138,15 +142,15 @@
         roster = Roster(1, make_members(NAMES, boot=50))
         registers = {}
         for name in NAMES:
-            registers[name] = Register(name, 50, WINDOW, 0.0)
+            registers[name] = Register(name, 50, WINDOW_SECONDS, 0.0)
             registers[name].replace_roster(roster)
-        reborn = Register(NAMES[0], 20, WINDOW, 0.0)
+        reborn = Register(NAMES[0], 20, WINDOW_SECONDS, 0.0)
         reborn.replace_roster(roster)
         self.assertEqual(reborn.boot, 51)
         for name in NAMES[1:4]:
             request = reborn.make_share_request()
             reborn.import_share(registers[name].export_share(request, 1.0), 1.0)
-        again = Register(NAMES[0], 30, WINDOW, 1.0)
+        again = Register(NAMES[0], 30, WINDOW_SECONDS, 1.0)
         again.import_share(registers[NAMES[1]].export_share(again.make_share_request(), 2.0), 2.0)
         self.assertEqual(again.boot, 52)
         again.replace_roster(roster)
@@ -219,10 +223,10 @@
 
     def test_the_first_version_waits_for_enough_instances_that_stay(self) -> None:
         planner = RosterPlanner(founding_size=5, settle_seconds=2.0)
-        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW, 0.0))
-        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW, 9.0))
-        self.assertIsNone(planner.plan(None, self.observe(NAMES, 0), WINDOW, 10.0))
-        founded = planner.plan(None, self.observe(NAMES, 0), WINDOW, 12.5)
+        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW_SECONDS, 0.0))
+        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW_SECONDS, 9.0))
+        self.assertIsNone(planner.plan(None, self.observe(NAMES, 0), WINDOW_SECONDS, 10.0))
+        founded = planner.plan(None, self.observe(NAMES, 0), WINDOW_SECONDS, 12.5)
         assert founded is not None
         self.assertEqual((founded.version, len(founded.members)), (1, 5))
 
@@ -231,11 +235,11 @@
         roster = Roster(2, make_members(NAMES))
         lagging = self.observe(NAMES[:2], 2) + self.observe(NAMES[2:4], 1)
         applied = self.observe(NAMES[:3], 2) + self.observe(NAMES[3:4], 1)
-        self.assertIsNone(planner.plan(roster, lagging, WINDOW, 0.0))
-        self.assertIsNone(planner.plan(roster, lagging, WINDOW, 5_000.0))
-        self.assertIsNone(planner.plan(roster, applied, WINDOW, 5_001.0))
-        self.assertIsNone(planner.plan(roster, applied, WINDOW, 5_600.0))
-        planned = planner.plan(roster, applied, WINDOW, 5_602.0)
+        self.assertIsNone(planner.plan(roster, lagging, WINDOW_SECONDS, 0.0))
+        self.assertIsNone(planner.plan(roster, lagging, WINDOW_SECONDS, 5_000.0))
+        self.assertIsNone(planner.plan(roster, applied, WINDOW_SECONDS, 5_001.0))
+        self.assertIsNone(planner.plan(roster, applied, WINDOW_SECONDS, 5_600.0))
+        planned = planner.plan(roster, applied, WINDOW_SECONDS, 5_602.0)
         assert planned is not None
         self.assertEqual(planned.version, 3)
         self.assertEqual({member.boot for member in planned.members}, {1})
--- a/packages/agreement/tests/test_directory_faults.py
+++ b/packages/agreement/tests/test_directory_faults.py
@@ -6,8 +6,8 @@
 from persimmonusher_lab.membership_checks import FleetChecker
 from persimmonusher_lab.virtual_fleet import VirtualFleet, VirtualServer
 
-DRAIN_BOUND = 2.0
-SHORT = MembershipLimits(dead_retention=60.0, stopped_retention=120.0)
+MAX_DRAIN_SECONDS = 2.0
+SHORT_LIMITS = MembershipLimits(dead_retention=60.0, stopped_retention=120.0)
 
 
 def start_fleet(
@@ -60,7 +60,7 @@
             for number, server in enumerate(servers):
                 with self.subTest(seed=seed, number=number):
                     fleet.tell(server, ServerState.DRAINING, entry=number)
-                    self.wait_until_known(fleet, server, ServerState.DRAINING, DRAIN_BOUND)
+                    self.wait_until_known(fleet, server, ServerState.DRAINING, MAX_DRAIN_SECONDS)
             self.expect_clean(checker)
 
     def test_a_drain_reaches_all_when_the_entry_that_was_told_is_killed(self) -> None:
@@ -76,7 +76,7 @@
                         fleet.cut_one_way((number,), range(48))
                     fleet.tell(server, ServerState.DRAINING, entry=number)
                     fleet.crash(number)
-                    self.wait_until_known(fleet, server, ServerState.DRAINING, DRAIN_BOUND)
+                    self.wait_until_known(fleet, server, ServerState.DRAINING, MAX_DRAIN_SECONDS)
             self.expect_clean(checker)
 
     def test_a_drain_crosses_a_one_way_cut(self) -> None:
@@ -91,7 +91,9 @@
                     fleet, checker, servers = start_fleet(48, seed)
                     fleet.cut_one_way(senders, receivers)
                     fleet.tell(servers[0], ServerState.DRAINING, entry=3)
-                    self.wait_until_known(fleet, servers[0], ServerState.DRAINING, DRAIN_BOUND)
+                    self.wait_until_known(
+                        fleet, servers[0], ServerState.DRAINING, MAX_DRAIN_SECONDS
+                    )
                     self.expect_clean(checker)
 
     def test_a_late_old_announcement_undoes_nothing(self) -> None:
@@ -142,7 +144,7 @@
                 fleet.run(5.0)
                 self.assertEqual(count_listing(fleet, servers[0]), 0)
                 servers[0].announcing = True
-                fleet.run(1.0 + DRAIN_BOUND)
+                fleet.run(1.0 + MAX_DRAIN_SECONDS)
                 self.assertEqual(count_listing(fleet, servers[0]), 48)
                 self.expect_clean(checker)
 
@@ -232,7 +234,7 @@
         """
         for fault in ("isolated", "island", "frozen"):
             with self.subTest(fault=fault):
-                fleet, checker, servers = start_fleet(limits=SHORT)
+                fleet, checker, servers = start_fleet(limits=SHORT_LIMITS)
                 group = [1] if fault != "island" else list(range(1, 12, 3))
                 if fault == "frozen":
                     fleet.freeze(1)
--- a/packages/agreement/tests/test_freshness.py
+++ b/packages/agreement/tests/test_freshness.py
@@ -10,7 +10,7 @@
 
 STEP_SECONDS = 0.02
 CHANGE_SECONDS = 0.3
-CALM_SECONDS = 3.0
+FAULT_FREE_SECONDS = 3.0
 ELECTION_SECONDS = TIMING.election_timeout
 HEARTBEAT_SECONDS = TIMING.heartbeat
 SEEDS = (*range(30), 1108, 1272)
@@ -59,7 +59,7 @@
         self.cluster = self.schedule.cluster
         self.number = 0
         self.change_at = 0.0
-        self.run_for(CALM_SECONDS)
+        self.run_for(FAULT_FREE_SECONDS)
 
     def run_for(self, seconds: float) -> None:
         """Advance time while changes are made, and check all keepers, also between events."""
@@ -145,9 +145,9 @@
             for seed in SEEDS:
                 with self.subTest(size=size, seed=seed):
                     self.begin(seed, size)
-                    self.strike(Random(seed))
+                    self.inject_faults(Random(seed))
 
-    def strike(self, random: Random) -> None:
+    def inject_faults(self, random: Random) -> None:
         names = list(self.cluster.keepers)
         for _ in range(12):
             source, target = random.sample(names, 2)
@@ -163,7 +163,7 @@
             else:
                 self.schedule.isolate(source, random.uniform(0.2, 3.0))
             self.run_for(random.uniform(0.1, 1.5))
-        self.run_for(CALM_SECONDS)
+        self.run_for(FAULT_FREE_SECONDS)
 
 
 if __name__ == "__main__":
--- a/packages/agreement/tests/test_keeper_choice.py
+++ b/packages/agreement/tests/test_keeper_choice.py
@@ -6,7 +6,7 @@
 from persimmonusher_agreement.keeper_choice import KeeperChoice, KeeperPlace
 
 PLACES = tuple(KeeperPlace(f"10.{number}.0.1:7000", f"d{number}") for number in range(1, 6))
-DOMAIN_WITHOUT = "d6"
+DOMAIN_WITHOUT_KEEPER = "d6"
 ENTRIES = 46
 
 
@@ -27,12 +27,12 @@
         When these entries followed five different keepers, no keeper knew the load of that domain's
         servers, and the entries overloaded some servers while others were idle.
         """
-        chosen = {choice.choose(PLACES, 0.0) for choice in make_choices(DOMAIN_WITHOUT)}
+        chosen = {choice.choose(PLACES, 0.0) for choice in make_choices(DOMAIN_WITHOUT_KEEPER)}
         self.assertEqual(len(chosen), 1)
 
     def test_they_turn_to_the_same_next_one_and_come_back(self) -> None:
         """The keeper that a domain's entries follow is lost for some seconds."""
-        choices = make_choices(DOMAIN_WITHOUT)
+        choices = make_choices(DOMAIN_WITHOUT_KEEPER)
         first = choices[0].choose(PLACES, 0.0)
         for choice in choices:
             choice.avoid(first.address, 5.0)
@@ -45,8 +45,8 @@
             self.assertEqual(choice.find_better(second, PLACES, 5.1), first)
 
     def test_an_entry_goes_home_when_a_keeper_is_there(self) -> None:
-        home = KeeperPlace("10.6.0.1:7000", DOMAIN_WITHOUT)
-        choice = KeeperChoice(DOMAIN_WITHOUT, Random(1))
+        home = KeeperPlace("10.6.0.1:7000", DOMAIN_WITHOUT_KEEPER)
+        choice = KeeperChoice(DOMAIN_WITHOUT_KEEPER, Random(1))
         followed = choice.choose(PLACES, 0.0)
         self.assertEqual(choice.find_better(followed, (*PLACES, home), 0.0), home)
 
--- a/packages/agreement/tests/test_log_elections.py
+++ b/packages/agreement/tests/test_log_elections.py
@@ -7,7 +7,7 @@
 from persimmonusher_lab.log_schedule import LogSchedule
 
 TIMING = LogTiming(heartbeat=0.4, election_timeout=1.2, first_election=0.3)
-LONGEST_SECONDS = 1.8
+MAX_WAIT_SECONDS = 1.8
 STEP_SECONDS = 0.05
 
 
@@ -35,5 +35,5 @@
         """Guards against seconds without a leader when all three voters left must vote alike."""
         with patch.object(log_cluster, "TIMING", TIMING):
             waits = [self.find_seconds_without_leader(seed) for seed in range(60)]
-        late = [wait for wait in waits if wait > LONGEST_SECONDS]
+        late = [wait for wait in waits if wait > MAX_WAIT_SECONDS]
         self.assertLessEqual(len(late), 1, late)
--- a/packages/agreement/tests/test_log_replacement.py
+++ b/packages/agreement/tests/test_log_replacement.py
@@ -7,7 +7,7 @@
 from persimmonusher_lab.log_schedule import LogSchedule
 
 TWO_LOST = LossTolerance.for_losses(2)
-FOR_GOOD = 1e9
+FOREVER_SECONDS = 1e9
 
 
 class LogReplacementTest(unittest.TestCase):
@@ -76,7 +76,7 @@
                 self.start(seed)
                 changes = [self.accept()]
                 gone = self.random.choice(self.list_voters())
-                self.schedule.stop(gone, FOR_GOOD)
+                self.schedule.stop(gone, FOREVER_SECONDS)
                 self.schedule.run(15.0)
                 self.assertNotIn(gone, self.list_voters())
                 self.assertEqual(len(self.list_voters()), 5)
@@ -86,7 +86,7 @@
                 self.schedule.run(15.0)
                 self.check_all_kept(changes)
                 last = self.random.choice(self.list_voters())
-                self.schedule.stop(last, FOR_GOOD)
+                self.schedule.stop(last, FOREVER_SECONDS)
                 self.schedule.run(20.0)
                 self.assertIn(last, self.list_voters())
                 changes.append(self.accept())
--- a/packages/agreement/tests/test_log_traps.py
+++ b/packages/agreement/tests/test_log_traps.py
@@ -6,7 +6,7 @@
 from persimmonusher_lab.log_schedule import LogSchedule
 from persimmonusher_model.errors import UsherError
 
-HOUR = 3_600.0
+HOUR_SECONDS = 3_600.0
 
 
 class LogTrapsTest(unittest.TestCase):
@@ -96,14 +96,14 @@
                 name = self.get_follower()
                 for other in set(self.cluster.keepers) - {name}:
                     if outwards:
-                        self.schedule.cut(name, other, hours * HOUR)
+                        self.schedule.cut(name, other, hours * HOUR_SECONDS)
                     if inwards:
-                        self.schedule.cut(other, name, hours * HOUR)
+                        self.schedule.cut(other, name, hours * HOUR_SECONDS)
                 leader = self.cluster.find_leader()
                 assert leader is not None
                 term = leader.replica.term
                 self.accept(3)
-                self.schedule.run(hours * HOUR)
+                self.schedule.run(hours * HOUR_SECONDS)
                 self.check_all_agree()
                 self.assertIs(self.cluster.find_leader(), leader)
                 self.assertEqual(leader.replica.term, term)
--- a/packages/agreement/tests/test_membership_faults.py
+++ b/packages/agreement/tests/test_membership_faults.py
@@ -7,8 +7,8 @@
 from persimmonusher_lab.virtual_fleet import VirtualFleet
 from persimmonusher_lab.virtual_links import Duplicated, Lost, Reordered
 
-SETTLE = 30.0
-SHORT = MembershipLimits(dead_retention=60.0, stopped_retention=120.0)
+SETTLE_SECONDS = 30.0
+SHORT_LIMITS = MembershipLimits(dead_retention=60.0, stopped_retention=120.0)
 
 
 def start_fleet(
@@ -77,7 +77,7 @@
                 prober = fleet.instances[1].fleet.prober
                 self.assertIn(name, prober.cut_paths)
                 fleet.heal()
-                fleet.run(SETTLE)
+                fleet.run(SETTLE_SECONDS)
                 self.assertEqual(prober.cut_paths, frozenset())
                 self.expect_clean(checker)
 
@@ -93,7 +93,7 @@
             fleet.run(1.0)
             self.assertEqual({len(one.fleet.members.live) for one in fleet.instances}, {12})
         fleet.heal()
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_an_instance_that_nobody_hears_is_dropped_and_comes_back(self) -> None:
@@ -108,7 +108,7 @@
         self.assertEqual(self.count_seeing(fleet, 4), 0)
         fleet.heal()
         self.wait_until_seen(fleet, 4, 5.0)
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_a_frozen_instance_returns_without_removing_others(self) -> None:
@@ -130,7 +130,7 @@
                 {len(one.fleet.members.live) for one in fleet.instances} - {11, 12}, set()
             )
             self.assertEqual(len(fleet.instances[3].fleet.members.live), 12)
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_a_restart_supersedes_the_earlier_life(self) -> None:
@@ -145,7 +145,7 @@
                 fleet.run(pause)
                 fleet.restart(2)
                 self.wait_until_seen(fleet, 2, 20.0)
-                fleet.run(SETTLE)
+                fleet.run(SETTLE_SECONDS)
                 self.expect_clean(checker)
 
     def test_a_restart_with_the_wall_clock_set_back_supersedes_all_the_same(self) -> None:
@@ -159,7 +159,7 @@
         fleet.run(30.0)
         fleet.restart(2, clock_offset=-600.0)
         self.wait_until_seen(fleet, 2, 20.0)
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_duplicates_and_reordering_change_nothing(self) -> None:
@@ -168,7 +168,7 @@
         fleet.run(120.0)
         self.assertEqual({len(one.fleet.members.live) for one in fleet.instances}, {12})
         fleet.heal()
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_a_partition_of_failure_domains_heals(self) -> None:
@@ -178,14 +178,14 @@
         """
         for seconds in (60.0, 200.0):
             with self.subTest(seconds=seconds):
-                fleet, checker = start_fleet(limits=SHORT)
+                fleet, checker = start_fleet(limits=SHORT_LIMITS)
                 island = list(range(1, 12, 3))
                 fleet.cut_both_ways(island, [n for n in range(12) if n not in island])
                 fleet.run(seconds)
                 self.assertEqual(len(fleet.instances[0].fleet.members.live), 8)
                 self.assertEqual(len(fleet.instances[1].fleet.members.live), 4)
                 fleet.heal()
-                fleet.run(SETTLE)
+                fleet.run(SETTLE_SECONDS)
                 self.expect_clean(checker)
 
     def test_a_cut_heals_although_no_seed_is_left(self) -> None:
@@ -200,7 +200,7 @@
         fleet.cut_both_ways(island, [4, 5, 7, 8, 10, 11])
         fleet.run(60.0)
         fleet.heal()
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_a_side_that_restarted_behind_the_cut_is_found_through_seeds(self) -> None:
@@ -208,7 +208,7 @@
         All instances of a cut-off failure domain restart, and the others remove their records
         before the cut heals. Each side knows no address of the other but the seeds in the settings.
         """
-        fleet, checker = start_fleet(limits=SHORT)
+        fleet, checker = start_fleet(limits=SHORT_LIMITS)
         island = [0, 3, 6, 9]
         fleet.cut_both_ways(island, [n for n in range(12) if n not in island])
         for number in island:
@@ -219,7 +219,7 @@
         fleet.run(200.0)
         self.assertEqual(len(fleet.instances[0].fleet.members.live), 4)
         fleet.heal()
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_twenty_percent_loss_removes_nobody_for_good(self) -> None:
@@ -228,7 +228,7 @@
                 fleet, checker = start_fleet(48, seed, loss=0.2)
                 fleet.run(25.0)
                 fleet.loss = 0.0
-                fleet.run(SETTLE)
+                fleet.run(SETTLE_SECONDS)
                 self.expect_clean(checker)
 
     def test_a_mass_restart_settles(self) -> None:
@@ -246,7 +246,7 @@
         )
         self.assertIsNotNone(took)
         self.assertLess(took or 0.0, 10.0)
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_a_start_before_the_seeds_waits_for_them(self) -> None:
@@ -257,7 +257,7 @@
         fleet.run(60.0)
         for number in (0, 1, 2):
             fleet.restart(number)
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_a_graceful_leave_is_no_suspicion(self) -> None:
@@ -266,14 +266,14 @@
         took = fleet.run_until(lambda: self.count_seeing(fleet, 5) == 0, 5.0)
         self.assertLess(took or 9.0, 2.0)
         fleet.restart(5)
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_rumours_that_never_arrive_are_repaired_by_exchange(self) -> None:
         fleet = VirtualFleet(12, seed=1)
         checker = FleetChecker(fleet)
         fleet.faults = [Lost(Rumour)]
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
     def test_probes_that_never_arrive_end_in_suspicion_and_come_back(self) -> None:
@@ -281,7 +281,7 @@
         fleet.faults = [Lost(Ping)]
         fleet.run(60.0)
         fleet.heal()
-        fleet.run(SETTLE)
+        fleet.run(SETTLE_SECONDS)
         self.expect_clean(checker)
 
 
