--- a/packages/agreement/src/persimmonusher_agreement/directory.py
+++ b/packages/agreement/src/persimmonusher_agreement/directory.py
@@ -21,7 +21,7 @@
 within milliseconds, 110,000 can't. Each instance watches 256 x 3 / 2,500 shards of 430 servers."""
 NO_SERVERS: Final[Mapping[ServerId, ServerRecord]] = MappingProxyType({})
 
-Group = dict[ServerId, ServerRecord]
+ServersById = dict[ServerId, ServerRecord]
 
 
 @dataclass(frozen=True)
@@ -48,10 +48,10 @@
     def __init__(self, store: RecordStore, limits: MembershipLimits) -> None:
         self._store = store
         self._limits = limits
-        self._live: dict[ServiceName, Group] = {}
-        self._lost: dict[ServiceName, Group] = {}
-        self._unconfirmed: dict[ServiceName, Group] = {}
-        self._by_shard: dict[int, Group] = {}
+        self._live: dict[ServiceName, ServersById] = {}
+        self._lost: dict[ServiceName, ServersById] = {}
+        self._unconfirmed: dict[ServiceName, ServersById] = {}
+        self._by_shard: dict[int, ServersById] = {}
         self._versions: dict[ServiceName, int] = {}
         self._tombstones: deque[tuple[float, ServerRecord]] = deque()
         self._recently_lost: deque[tuple[float, ServerRecord]] = deque()
@@ -195,7 +195,7 @@
             self._remove_record(record)
             self._store.remove(record)
 
-    def _drop(self, groups: dict[ServiceName, Group], record: ServerRecord) -> bool:
+    def _drop(self, groups: dict[ServiceName, ServersById], record: ServerRecord) -> bool:
         """Remove a server from a group and, if it was in it, raise its service's version."""
         dropped = groups.get(record.service, {}).pop(record.server_id, None) is not None
         if dropped:
--- a/packages/agreement/src/persimmonusher_agreement/election_clock.py
+++ b/packages/agreement/src/persimmonusher_agreement/election_clock.py
@@ -74,7 +74,7 @@
         short as the steps in which they read the time, they would always stand together.
         """
         timing = self._timing
-        shortest = min(timing.election_timeout, timing.split_vote * 2**self._split_votes)
+        shortest = min(timing.election_timeout, timing.split_vote_wait * 2**self._split_votes)
         self._split_votes += 1
         wait = shortest * (1 + self._random.random())
         self._election_at = min(self._election_at, self.now + wait)
--- a/packages/agreement/src/persimmonusher_agreement/log_timing.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_timing.py
@@ -20,7 +20,7 @@
     were killed at once there is no leader, and entries that were killed with them have no
     configuration until one is elected. A single keeper that starts disturbs no leader: keepers that
     hear one refuse it their pre-votes."""
-    split_vote: float = 0.2
+    split_vote_wait: float = 0.2
     """The shortest wait of a candidate after a split vote: far above the time in which votes are
     requested and granted, and far below the election timeout, whose length is needed only to
     distinguish a lost leader from a late one."""
--- a/packages/agreement/src/persimmonusher_agreement/roster.py
+++ b/packages/agreement/src/persimmonusher_agreement/roster.py
@@ -29,7 +29,7 @@
 MAX_LAGGING_MEMBERS: Final = (REGISTERS_PER_KEY - 1) // 2
 """Members that may not have applied a version yet: any majority of 5 registers then still includes
 one that has."""
-SLOTS: Final = 1_024
+CLAIM_SLOTS: Final = 1_024
 """All keys of a slot share its registers: ranking 2,500 members takes milliseconds, too long for
 each request, and 1,024 cached choices still spread the keys evenly."""
 
@@ -59,7 +59,7 @@
 
     def list_sets(self, key: str) -> tuple[frozenset[InstanceId], ...]:
         """Return the register sets for a key; a claim needs a majority of each one."""
-        slot = xxhash.xxh3_64_intdigest(key.encode()) % SLOTS
+        slot = xxhash.xxh3_64_intdigest(key.encode()) % CLAIM_SLOTS
         sets = self._sets.get(slot)
         if sets is None:
             versions = [self.members, self.previous] if self.previous else [self.members]
