--- a/packages/decisions/src/persimmonusher_decisions/admission.py
+++ b/packages/decisions/src/persimmonusher_decisions/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request goes to a server now, waits, or is refused, and when it may come back."""
+"""Admission: whether a request may wait or is refused, and when its caller may try again."""
 
 from math import exp
 from random import Random
@@ -10,29 +10,30 @@
 
 RATE_MEMORY_SECONDS: Final = 1.0
 FEWEST_ANSWERS: Final = 4.0
-"""Answers in memory below which the drain rate isn't known yet."""
+"""Requests in memory below which the drain rate counts as unknown."""
 WAIT_MARGIN: Final = 0.35
-"""A request waits only if its expected wait is below this part of the longest one, so that few
-are refused only after they waited."""
+"""A request waits only if its expected wait is below this part of the longest allowed one, so that
+few requests are refused after they have waited."""
 SHORTEST_RETRY_AFTER: Final = 1.0
 LONGEST_RETRY_AFTER: Final = 30.0
 SHORTEST_RETURN: Final = 0.1
-"""Seconds, for a caller that servers with free slots turned away: less than the time of usual work,
-and enough for the answer and a new connection."""
+"""Shortest retry-after, in seconds, for a caller whose request servers with free slots refused:
+less than usual work takes, and enough for the answer and a new connection."""
 RETURN_SHARE: Final = 0.5
-"""Part of the recent latency after which such a caller comes back where half of the attempts are
-refused: three tries fit into what callers call in time, two and a half times the work."""
+"""Part of the recent latency that such a caller waits when half of the attempts are refused: three
+tries fit into the time that callers accept, two and a half times that of the work."""
 LARGEST_SHED_SHARE: Final = 0.95
-"""Share of attempts refused by servers up to which the time to come back grows with it."""
+"""Share of refused attempts above which the retry-after stops growing."""
 SHED_MEMORY: Final = 0.1
-"""Weight of the newest attempt in that share: some ten attempts make it up, those of two or three
-seconds at an instance of an average fleet."""
+"""Weight of the newest attempt in the share of attempts that servers refused. About ten attempts
+make it up: two or three seconds' worth at an instance of an average fleet."""
 RETRY_AFTER_SPREAD: Final = 0.25
-"""Callers refused together are told times this far apart, so that they don't return together."""
+"""Random variation of retry-after, up and down, so that callers refused together don't return
+together."""
 
 
 class DrainRate:
-    """The rate at which requests of one lane leave for servers, with fading memory."""
+    """The rate at which requests of one lane are sent to servers, with exponential decay."""
 
     def __init__(self) -> None:
         self._count = 0.0
@@ -44,7 +45,7 @@
         self._count += 1.0
 
     def find(self, now: float) -> float | None:
-        """Return requests a second; None where there are too few to tell."""
+        """Return requests per second, or None if too few requests were counted."""
         self._fade(now)
         return self._count / RATE_MEMORY_SECONDS if self._count >= FEWEST_ANSWERS else None
 
@@ -55,13 +56,13 @@
 
 
 class Admission:
-    """Keeps the queue and gives each refusal its reason and its time to come back.
+    """Holds the queue, and computes the retry-after time of refusals.
 
-    The load it is for: demand at 1.5 to 3 times capacity. The harm: work that is done for a caller
-    who has given up, callers who wait for an answer that can't come in time, and refused callers
-    who all come back at once. So a request whose deadline or expected wait can't be met is
-    refused on arrival, at the cost of a few microseconds; and the refused are told to come back
-    when those refused before them will have been served at the observed rate.
+    At 1.5 to 3 times capacity, servers would work for callers that have timed out, callers would
+    wait for answers that can't come in time, and refused callers would all retry at once. So a
+    request that can't meet its deadline or the longest wait is refused on arrival, at the cost of a
+    few microseconds. Its retry-after is the time in which the requests refused before it can be
+    served at the observed rate.
     """
 
     def __init__(self, profile: Profile, random: Random) -> None:
@@ -74,11 +75,11 @@
         self._rates = {True: DrainRate(), False: DrainRate()}
 
     def replace_profile(self, profile: Profile) -> None:
-        """Take a new profile; what waits goes on waiting."""
+        """Apply a new profile; waiting requests stay in the queue."""
         self._profile = profile
 
     def wait(self, request: Request, usual_latency: float, now: float) -> Refusal | None:
-        """Let the request wait, or refuse it; None means that it waits."""
+        """Queue the request and return None, or return its refusal."""
         if not self.queue.has_room(request, self._profile.queue_limit):
             return self.refuse(request, RefusalReason.QUEUE_FULL, now)
         rate = self._rates[request.idempotent].find(now)
@@ -91,29 +92,29 @@
         return None
 
     def record_start(self, request: Request, now: float) -> None:
-        """Count a request that leaves for a server: its lane's drain rate."""
+        """Count a request that is sent to a server in its lane's drain rate."""
         self._rates[request.idempotent].record(now)
 
     def refuse(self, request: Request, reason: RefusalReason, now: float) -> Refusal:
-        """Refuse a request that was not run."""
+        """Refuse a request, with a retry-after from the backlog and the drain rate."""
         return Refusal(request, reason, self._find_retry_after(now))
 
     def record_attempt(self, refused: bool) -> None:
-        """Take the end of an attempt: whether its server refused to run the request."""
+        """Record the end of an attempt: whether its server refused to run the request."""
         self._shed_share += SHED_MEMORY * (refused - self._shed_share)
 
     def refuse_shed(
         self, request: Request, reason: RefusalReason, recent_latency: float, now: float
     ) -> Refusal:
-        """Refuse a request that servers turned away, with no budget left to ask another one.
-
-        The load it is for: all servers of a service turn away half of their requests for seconds,
-        whatever their load. The harm: told to come back after a second, a caller whose next try
-        would be taken as likely as not has its answer late, or gives up. Nothing is gained by
-        waiting for the queue here, which is empty; so the caller comes back within a part of the
-        latest answers' time, and later the more is refused: with nine of ten attempts refused nine
-        times as late as with half of them, so that callers who come again don't add to a real
-        overload. While requests wait here, they go first.
+        """Refuse a request that servers refused and that can't be sent to another one.
+
+        All servers of a service may refuse half of their requests for seconds, whatever their load.
+        With a retry-after of a second, a caller whose next try has an even chance would get its
+        answer late or give up. The queue here is empty, so waiting longer gains nothing: the caller
+        may retry after a part of the recent latency. The time grows with the share of refused
+        attempts, so that retrying callers don't add to a real overload: with nine of ten attempts
+        refused it is nine times as long as with half of them. If requests wait in the queue here,
+        they have precedence, and the usual retry-after applies.
         """
         if len(self.queue):
             return self.refuse(request, reason, now)
@@ -124,7 +125,7 @@
     def find_lateness(
         self, request: Request, usual_latency: float, now: float
     ) -> RefusalReason | None:
-        """Return why it is too late for a request, None where it isn't."""
+        """Return the reason why a request is too late, or None if it isn't."""
         if now + usual_latency > request.deadline:
             return RefusalReason.DEADLINE
         if now - request.arrived > self._longest_wait():
@@ -132,12 +133,12 @@
         return None
 
     def find_wait_left(self, request: Request, usual_latency: float, now: float) -> float:
-        """Return the seconds after which it will be too late for a request, 0 or less if it is."""
+        """Return the seconds until a request is too late; 0 or less if it is already."""
         queue_wait = request.arrived + self._longest_wait() - now
         return min(queue_wait, request.deadline - now - usual_latency)
 
     def refuse_closed(self, request: Request, seconds: float) -> Refusal:
-        """Refuse a request that no server takes from this instance for so long."""
+        """Refuse a request while all servers are closed to this instance, for `seconds` more."""
         retry_after = min(LONGEST_RETRY_AFTER, max(SHORTEST_RETRY_AFTER, seconds))
         return Refusal(request, RefusalReason.SERVERS_CLOSED, retry_after)
 
--- a/packages/decisions/src/persimmonusher_decisions/advice.py
+++ b/packages/decisions/src/persimmonusher_decisions/advice.py
@@ -1,11 +1,11 @@
-"""What a backend server asks of instances in its answers, beside the answers' own outcomes."""
+"""Requests that backend servers make of instances in their answers: limits, rests, leaving."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Asked(Enum):
-    """What a server has asked for by the time at which something is sent to it."""
+    """The restriction that a server had asked for when a request was sent to it."""
 
     NOTHING = ""
     LIMIT = "limited"
@@ -14,13 +14,14 @@
 
 @dataclass(frozen=True)
 class ServerAdvice:
-    """What one answer asks for. It holds for one start of the server."""
+    """What one answer asks for; valid for the current boot of the server."""
 
     rate_limit: float | None = None
-    """Requests a second that it takes from all instances together, None where it names no limit."""
+    """Requests per second that the server accepts from all instances together; None for no
+    limit."""
     is_readable: bool = True
-    """Whether a limit that it names could be read. One that couldn't changes nothing."""
+    """False if the answer names a limit that can't be parsed; such a limit changes nothing."""
     rest_seconds: float = 0.0
-    """Time from the answer on in which it wants nothing more from this instance, 0 for none."""
+    """Time from the answer on for which this instance should send nothing; 0 for none."""
     is_leaving: bool = False
-    """Whether it says that it leaves: it wants nothing new from anyone."""
+    """Whether the server says that it is leaving: it accepts nothing new from any instance."""
--- a/packages/decisions/src/persimmonusher_decisions/advice_book.py
+++ b/packages/decisions/src/persimmonusher_decisions/advice_book.py
@@ -1,4 +1,4 @@
-"""What servers ask for, from their answers here and from other instances."""
+"""Applies the limits and rests that servers ask for, from answers and from other instances."""
 
 from persimmonusher_decisions.advice import ServerAdvice
 from persimmonusher_decisions.notices import Notice, NoticeKind
@@ -9,10 +9,10 @@
 
 
 class AdviceBook:
-    """Notes at each server's track what it asks for; one for a service at an instance.
+    """Records in each server's track what it asks for; one for each service at an instance.
 
-    A limit is for all instances and so is told to them. A rest is for the instance that was turned
-    away, and a server that leaves tells everyone itself.
+    A rate limit applies to all instances, so it is sent to them. A rest applies to the instance
+    that was refused, and a server that leaves announces it to everyone itself.
     """
 
     def __init__(self, service: ServiceName, limits: RateLimits) -> None:
@@ -23,7 +23,7 @@
     def take(
         self, track: ServerTrack, dispatch: Dispatch, advice: ServerAdvice, now: float
     ) -> bool:
-        """Take an answer's advice; tell whether it is news that the server leaves."""
+        """Apply an answer's advice; return whether it newly says that the server leaves."""
         if advice.rest_seconds:
             track.rest_until(now + advice.rest_seconds)
         if self._limits.take(track, advice, dispatch.started, now):
@@ -33,11 +33,11 @@
         return is_news
 
     def take_notice(self, notice: Notice, track: ServerTrack, now: float) -> bool:
-        """Take a limit that another instance read; tell whether it is another one than before."""
+        """Apply a limit that another instance received; return whether it changes the limit."""
         return self._limits.take(track, ServerAdvice(notice.rate_limit), now - notice.seconds, now)
 
     def take_notices(self) -> tuple[Notice, ...]:
-        """Return the limits read here that other instances are to be told of."""
+        """Return and clear the limits received here, to be sent to other instances."""
         notices, self._notices = tuple(self._notices), []
         return notices
 
--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -1,4 +1,4 @@
-"""One service's assessor: pools the evidence of all entry instances and decides who is ejected."""
+"""A service's assessor: combines the evidence of all entry instances and ejects servers."""
 
 from collections.abc import Iterable
 from typing import Final, TypeAlias
@@ -19,28 +19,28 @@
 from persimmonusher_model.profile import Profile
 
 LEASE_SECONDS: Final = 3.0
-"""Long enough for several renewals to be lost, short enough that a cut-off assessor's word ends
-soon."""
+"""Long enough that several renewals may be lost, short enough that the verdict of an isolated
+assessor lapses soon."""
 AGREEMENT_SHARE: Final = 0.1
-"""Score from which on a failure domain is taken to see what all see together."""
+"""Score from which a failure domain's own evidence agrees with that of all domains together."""
 AGREEING_DOMAINS: Final = 0.6
-"""Part of the domains with work on a server that must agree for an ejection from all: a one-way
-cut from one domain of three or four stays that domain's own."""
+"""Part of the domains with work on a server that must agree before it is ejected for all domains. A
+one-way network cut from one domain of three or four affects that domain only."""
 DOMAIN_SCORE: Final = 1.4
-"""Score for an ejection from one domain alone: it has a quarter of the answers, so that a blip is
-a larger share of them, and a real one-way cut goes on."""
+"""Score needed to eject a server for one domain alone. A domain sees about a quarter of the
+answers, so a blip is a larger share of them, while a real one-way cut lasts."""
 EVERYWHERE: Final = FailureDomain("")
 Place: TypeAlias = tuple[FailureDomain, ServerId]
 
 
 class Assessor:
-    """Decides for one service; any instance can hold one, the first in rendezvous order acts.
+    """Decides on the ejections in one service.
 
-    The load it is for: 36 to 48 entry instances, each of which sees one server's answers twice a
-    second, or more seldom. The harm: alone, an instance needs seconds of failures for a verdict
-    that all together can reach in a fraction of one. Evidence is kept for each failure domain
-    that looks, and for all together; an ejection holds for the domains that see its cause.
-    `assess` is called about every 0.1 s.
+    Any instance can hold an assessor; the first one in rendezvous order acts. With 36 to 48 entry
+    instances, each sees two answers of one server per second, or fewer. A single instance would
+    need seconds of failures for a verdict that all together can reach in a fraction of a second.
+    Evidence is kept for each observing failure domain and for all domains together; an ejection
+    applies to the domains that see its cause. `assess` is called about every 0.1 s.
     """
 
     def __init__(
@@ -62,16 +62,17 @@
         self.replace_profile(profile)
 
     def replace_profile(self, profile: Profile) -> None:
-        """Take a new profile; evidence is kept."""
+        """Apply a new profile; evidence is kept."""
         self._floor_percent = profile.health_floor_percent
         self._sensitivity = Sensitivity.derive(profile.detection_sensitivity)
         self._strikes.replace_limits(profile.crash_strikes, profile.quarantine_ms / 1000.0)
 
     def replace_servers(self, servers: Iterable[BackendServer], now: float) -> None:
-        """Take the announced servers: the base of the floor, and whom to forget.
+        """Replace the announced servers; the floor counts the ready ones.
 
-        A server that started again goes on probation at once: what spoke against it may be gone,
-        and if a request had crashed it, it wasn't to blame.
+        State of servers that are gone is dropped. An ejected server that was restarted goes on
+        probation at once: the fault may be gone, and if a request had crashed the server, it wasn't
+        the server's fault.
         """
         known = list(servers)
         ready = [server for server in known if server.state is ServerState.READY]
@@ -89,10 +90,10 @@
             del self._waits[place]
 
     def add_domain(self, domain: FailureDomain) -> bool:
-        """Take that instances of this failure domain ask for verdicts; False when it is known.
+        """Add a failure domain whose instances ask for verdicts; False if it is already known.
 
-        Without it an instance whose whole domain has had no work for the service yet would be told
-        of no ejection, and its first requests would go to a server that all others keep clear of.
+        Otherwise an instance whose whole domain has had no work for the service yet would get no
+        ejections, and its first requests would go to servers that all others avoid.
         """
         if domain in self._views:
             return False
@@ -100,7 +101,7 @@
         return True
 
     def receive(self, digest: EvidenceDigest, now: float) -> None:
-        """Add one instance's evidence; a digest seen before is ignored."""
+        """Add one instance's evidence; a digest that was seen before, or is older, is ignored."""
         freshness = (digest.incarnation, digest.sequence)
         if freshness <= self._digests.get(digest.instance_id, (-1, -1)):
             return
@@ -121,7 +122,7 @@
         self._strikes.receive(digest.strikes, now)
 
     def assess(self, now: float) -> EjectionSet:
-        """Return the whole verdict as of now, as a lease."""
+        """Return the complete verdict as of now, as a lease."""
         if self._slice_from is None:
             self._slice_from = now
         if now - self._slice_from >= SLICE_SECONDS - 1e-9:
@@ -197,7 +198,7 @@
                 view.servers[server_id].reset()
 
     def _list_ejections(self) -> tuple[Ejection, ...]:
-        """Apply the floor to what each failure domain sees; ejections from all count for each."""
+        """Apply the floor for each failure domain; ejections for all domains count in each."""
         ejections: list[Ejection] = []
         held_back: set[ServerId] = set()
         for domain in self._views:
@@ -222,7 +223,7 @@
         }
 
     def _describe_restraint(self) -> str:
-        """Say why fewer servers are out than look ill, empty where that isn't so."""
+        """Explain why fewer servers are ejected than look faulty; empty if that isn't so."""
         notes: list[str] = []
         if self._held_back:
             notes.append(
@@ -239,7 +240,7 @@
 
 
 def describe_evidence(server: ServerView, view: View, domain: FailureDomain) -> str:
-    """Say in figures why a server is ejected."""
+    """Return the reason for an ejection, with its figures."""
     seen_from = f"from {domain}" if domain else "from all failure domains"
     failing, slow = server.failing, server.slow
     if failing.test.score >= slow.test.score:
--- a/packages/decisions/src/persimmonusher_decisions/digests.py
+++ b/packages/decisions/src/persimmonusher_decisions/digests.py
@@ -1,4 +1,4 @@
-"""What one instance tells the assessor of a service."""
+"""The evidence digests that one instance sends to a service's assessor."""
 
 from collections.abc import Collection
 
@@ -29,7 +29,7 @@
     def make(
         self, tracks: Collection[ServerTrack], quarantine: Quarantine, now: float
     ) -> EvidenceDigest | None:
-        """Return the evidence that wasn't told yet, None where there is none or it isn't due."""
+        """Return the unsent evidence, or None if there is none or no digest is due."""
         if not self._schedule.is_due(tracks, quarantine.has_news, now):
             return None
         strikes = quarantine.take_strikes(now)
--- a/packages/decisions/src/persimmonusher_decisions/dispatcher.py
+++ b/packages/decisions/src/persimmonusher_decisions/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends a request to the server that placement chooses, and keeps count of it."""
+"""Starts attempts on the servers that placement chooses, and accounts for them."""
 
 from persimmonusher_decisions.admission import Admission
 from persimmonusher_decisions.evidence import EvidenceLog
@@ -11,7 +11,7 @@
 
 
 class Dispatcher:
-    """Turns a choice of server into an attempt in flight; one for a service at an instance."""
+    """Starts attempts; there is one dispatcher for each service at an instance."""
 
     def __init__(
         self,
@@ -35,14 +35,17 @@
         now: float,
         unreached: int = 0,
     ) -> Dispatch | None:
-        """Start an attempt, on another server than the one tried; None where none takes work."""
+        """Start an attempt, preferably not on the server `tried`; None if no server is available.
+
+        `unreached` counts earlier attempts of which no byte left this instance.
+        """
         track = self._placement.choose(request.idempotent, tried, now)
         return None if track is None else self.start(request, track, attempt, now, unreached)
 
     def start(
         self, request: Request, track: ServerTrack, attempt: int, now: float, unreached: int = 0
     ) -> Dispatch:
-        """Start an attempt on a server."""
+        """Start an attempt on a given server, and count it in budgets, limits and evidence."""
         if attempt == 1:
             self._retries.earn(now)
             self._admission.record_start(request, now)
--- a/packages/decisions/src/persimmonusher_decisions/doubts.py
+++ b/packages/decisions/src/persimmonusher_decisions/doubts.py
@@ -1,4 +1,4 @@
-"""What is seen of one server and proves nothing alone."""
+"""Observations of a server that count only once several of them have been made."""
 
 from typing import Final
 
@@ -6,24 +6,24 @@
 from persimmonusher_model.identifiers import RequestId
 
 DOUBT_SECONDS: Final = 1.5
-"""Time within which a second late failure of a server, whoever sees it, makes it suspected. One
-that fails half its work at two requests a second does so; one whose work fails once in a hundred
-times fails again by chance in one case out of thirty."""
+"""Window in which a second late failure, seen by any instance, makes a server suspected. A server
+that fails half its work at two requests per second has one; a server that fails one request in a
+hundred has one by chance in one case out of thirty."""
 UNREACHED_SECONDS: Final = 1.0
-"""Time within which so many instances must fail to reach a server. One that takes nine requests a
-second and is gone is missed by that many; one that a tenth of the instances can't reach is missed
-by one or two, which then pass it by for seconds themselves."""
+"""Window for failures to reach a server. A server with nine requests per second that is gone causes
+enough of them. A server that a tenth of the instances can't reach causes one or two, after which
+those instances avoid it for seconds themselves."""
 PROOF_SECONDS: Final = 4.0
-"""Time within which the lookups must have been done that prove a server well. Further apart, each
-could fall into a better moment of the same illness."""
+"""Window in which the lookups that prove a server healthy must have succeeded. Further apart, each
+could fall into a better moment of the same fault."""
 NEEDED: Final = {
     NoticeKind.FAILED_LATE: 2,
     NoticeKind.UNREACHED: 3,
     NoticeKind.RECOVERED: 2,
 }
-"""How often a kind must be seen, each time of another request, to be believed. A server that fails
-three of four requests does one lookup well one time in four, and two in a row one time in
-sixteen."""
+"""How many different requests must show an observation of each kind before it counts. A server that
+fails three of four requests answers one lookup successfully one time in four, and two in a row one
+time in sixteen."""
 SECONDS: Final = {
     NoticeKind.FAILED_LATE: DOUBT_SECONDS,
     NoticeKind.UNREACHED: UNREACHED_SECONDS,
@@ -32,7 +32,7 @@
 
 
 class Doubts:
-    """The latest such sightings of a server, by kind."""
+    """The recent observations of one server, by kind and request."""
 
     __slots__ = ("_seen",)
 
@@ -40,7 +40,10 @@
         self._seen: dict[NoticeKind, dict[RequestId, float]] = {}
 
     def add(self, kind: NoticeKind, request_id: RequestId, now: float) -> bool:
-        """Take a sighting, which may be told more than once; tell whether there are enough."""
+        """Record an observation and return whether there are enough of its kind.
+
+        The same observation may arrive more than once; it is identified by its request.
+        """
         since = now - SECONDS[kind]
         seen = {name: at for name, at in self._seen.get(kind, {}).items() if at > since}
         seen.setdefault(request_id, now)
@@ -48,5 +51,5 @@
         return len(seen) >= NEEDED[kind]
 
     def forget(self, kind: NoticeKind) -> None:
-        """Begin anew with a kind that something else has refuted."""
+        """Drop the observations of a kind that newer evidence contradicts."""
         self._seen.pop(kind, None)
--- a/packages/decisions/src/persimmonusher_decisions/ejection.py
+++ b/packages/decisions/src/persimmonusher_decisions/ejection.py
@@ -1,4 +1,4 @@
-"""The assessor's verdict as one entry instance applies it: a lease, under the floor."""
+"""Applies the assessor's verdict at an entry instance: as a lease, and within the floor."""
 
 from collections.abc import Iterable
 from math import inf
@@ -10,17 +10,17 @@
 from persimmonusher_model.identifiers import FailureDomain, ServerId
 
 LONGEST_LEASE_SECONDS: Final = 10.0
-"""Longest lease taken, whatever a set says: the verdict of an assessor that is gone must lapse."""
+"""Upper bound of a set's lease: the verdict of an assessor that is gone must lapse."""
 HELD_BACK: Final = "looks ill, kept in place by the floor: "
 
 
 class EjectionLease:
     """Holds at most one assessor's set, for as long as its lease runs.
 
-    The failure it is for: while instances disagree on membership, two assessors act for one
-    service, each within the floor. Were both sets applied, together they could break it. So a set
-    of another assessor is taken only once the lease in force has lapsed, and whatever is taken is
-    checked again against the servers that this instance knows.
+    While instances disagree on membership, two assessors may act for one service, each within the
+    floor. If both sets were applied, together they could violate it. So a set of another assessor
+    is accepted only once the lease in force has lapsed, and the floor is applied again to each
+    accepted set, with the servers that this instance knows.
     """
 
     def __init__(self, failure_domain: FailureDomain) -> None:
@@ -29,7 +29,7 @@
         self._until = -inf
 
     def apply(self, ejections: EjectionSet, asked: float) -> bool:
-        """Take a set that was asked for at `asked`; False where the one in force stays."""
+        """Accept a set that was requested at `asked`; False if the one in force stays."""
         current = self._set
         if current is not None and asked < self._until:
             if ejections.assessor_id != current.assessor_id:
@@ -41,7 +41,7 @@
         return True
 
     def expire(self, now: float) -> bool:
-        """Let a lease lapse; True where one just did."""
+        """Drop the set if its lease has expired; return whether it was dropped."""
         if self._set is None or now < self._until:
             return False
         self._set = None
@@ -49,11 +49,14 @@
 
     @property
     def assessor(self) -> str:
-        """Return whose set is in force, empty for none."""
+        """Return the id of the assessor whose set is in force; empty for none."""
         return self._set.assessor_id if self._set else ""
 
     def mark(self, tracks: Iterable[ServerTrack], floor_percent: int, now: float) -> None:
-        """Put the servers out that the set names, as far as the floor lets them go."""
+        """Mark the servers that the set ejects, as far as the floor allows.
+
+        A server that returns begins its ramp.
+        """
         known = list(tracks)
         named = self._list_named()
         ready = {track.server_id: track.slots for track in known if track.is_ready}
--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -1,4 +1,4 @@
-"""What one entry instance learns of servers from the real work that it sends them."""
+"""An entry instance's evidence on servers, from the outcomes of real requests."""
 
 from collections.abc import Iterable
 from math import inf
@@ -12,24 +12,27 @@
 
 OVERDUE_CHECK_SECONDS: Final = 0.05
 MAX_CLASSES: Final = 64
-"""Classes with a latency baseline of their own; further ones share one."""
+"""Number of request classes with a latency baseline of their own; further classes share one."""
 SHARED_CLASS: Final = ""
 ROUTINE_ANSWERS: Final = 16
-"""Good answers that are told of at once, without anything abnormal."""
+"""Good answers of one server from which the next digest includes it, without anything abnormal."""
 ROUTINE_SECONDS: Final = 1.0
-"""Fewer good answers than that are told of after this time. An abnormal answer takes the good
-ones before it along, so the share of bad ones isn't distorted by holding good ones back."""
+"""Interval between digests, and between a server's lines if it has fewer good answers than that and
+nothing abnormal. A line with bad answers also contains the good ones before them, so holding
+good ones back doesn't distort the share of bad ones."""
 URGENT_SECONDS: Final = 0.1
+"""Shortest interval between digests, urgent ones included."""
 URGENT_SLOW: Final = 2
-"""Slow answers of one server, and most of its answers, that a digest doesn't wait for."""
+"""Slow answers of one server that make a digest urgent, if they are most of its answers."""
 SLOW_MEMORY: Final = 0.05
-"""Weight of the newest answer in this instance's share of slow answers: some 20 count."""
+"""Weight of the newest answer in this instance's share of slow answers: about 20 make it up."""
 QUICK_SHARE: Final = 0.5
-"""Part of the recent latency below which hardly any answer comes: one in twenty where work spreads
-by a factor of one and a half about its middle."""
+"""Part of the recent latency below which hardly any answer comes: one in twenty where latency
+spreads by a factor of one and a half about its median."""
 RECENT_MEMORY: Final = 0.1
-"""Weight of the newest answer in the service's recent latency: some ten make it up."""
+"""Weight of the newest answer in the service's recent latency: about ten make it up."""
 SATURATED_SHARE: Final = 0.5
+"""Share of slow answers from which the service counts as saturated, so that age proves nothing."""
 FAILED_KINDS: Final = frozenset(
     {
         OutcomeKind.FAILURE,
@@ -53,17 +56,18 @@
         self.overdue = False
         self.stuck = False
         self.taken = False
-        """Whether `take_overdue` has returned it."""
+        """Whether `take_overdue` has returned this attempt."""
 
 
 class EvidenceLog:
     """Attempts in flight, latency baselines, and counts for the next digest.
 
     An attempt that has been in flight for longer than answers of its class usually take counts as
-    slow at once, before it ends, and as failed once hardly any answer takes as long. That is for a
-    server, or a one-way cut, that swallows requests: they would say nothing until their deadlines,
-    10 s later, and keep a share of work until then. While most answers of all servers are slow,
-    nothing counts as failed for its age: that is an overload's doing, and not one server's.
+    slow before it ends, and as failed once hardly any answer takes as long. If a server hangs, or a
+    one-way network cut drops requests, their outcomes would otherwise be known only at their
+    deadlines, 10 s later, and the server would keep its share of work until then. While most
+    answers of all servers are slow, no attempt counts as failed for its age: the cause is an
+    overload then, and not one server.
     """
 
     def __init__(self) -> None:
@@ -72,28 +76,28 @@
         self._overdue_at = 0.0
         self._slow_share = 0.0
         self.recent_latency: float | None = None
-        """Of the service's latest good answers, whatever their class; None before the first."""
+        """Moving average over the service's good answers of all classes; None before the first."""
 
     def __len__(self) -> int:
         return len(self._attempts)
 
     def find_free_number(self, request_id: RequestId, attempt: int) -> int:
-        """Return the attempt's number, or the next one where a copy in flight has it.
+        """Return the attempt's number, or the next one that no copy in flight uses.
 
-        That is for a hedge whose original fails: the retry would take the hedge's number, and the
-        hedge's end would then be lost, with one request outstanding at its server for ever.
+        When the original of a hedged request fails, the retry would get the hedge's number. The end
+        of the hedge would then be lost, and its server would keep one request outstanding for ever.
         """
         while (request_id, attempt) in self._attempts:
             attempt += 1
         return attempt
 
     def start(self, dispatch: Dispatch, track: ServerTrack) -> None:
-        """Take an attempt that is sent now."""
+        """Add an attempt that is sent now to those in flight."""
         self._attempts[dispatch.request.request_id, dispatch.attempt] = Attempt(dispatch, track)
         track.outstanding += 1
 
     def end(self, dispatch: Dispatch) -> Attempt | None:
-        """Remove an attempt; None where it has ended before, which then counts for nothing."""
+        """Remove an attempt from those in flight; None if it has already ended."""
         attempt = self._attempts.pop((dispatch.request.request_id, dispatch.attempt), None)
         if attempt is not None:
             attempt.track.outstanding -= 1
@@ -102,10 +106,10 @@
     def learn(self, attempt: Attempt, outcome: Outcome) -> None:
         """Count an outcome for or against the server.
 
-        A refusal that the server itself answers counts as slow, not as failed. The load it is for:
-        the first moments of an overload, when some servers refuse before others. The harm: taken
-        for failures, refusals would eject the busiest servers. As slowness they are weighed over
-        more slices and not at all in saturation; a server that refuses alone is still ejected.
+        A refusal that reports the server's load counts as slow, not as failed. In the first moments
+        of an overload some servers refuse before others; if refusals counted as failures, the
+        busiest servers would be ejected. As slowness they must span more slices, and don't count
+        under saturation; a server that is alone in refusing is still ejected.
         """
         track = attempt.track
         if attempt.stuck:
@@ -122,19 +126,20 @@
             track.failed += 1
 
     def find_usual_latency(self, request_class: str) -> float:
-        """Return the median latency of a class, 0 where nothing is known yet.
+        """Return the median latency of a class, or 0 if nothing is known yet.
 
-        Until the class has a baseline, a part of the service's recent latency stands in for it: a
-        request that has waited until it has less time than that would only use a slot in vain.
+        Until the class has a baseline, QUICK_SHARE of the service's recent latency is used instead:
+        a request with less time left than that would only waste a slot.
         """
         median = self._find_baseline(request_class).median
         return QUICK_SHARE * (self.recent_latency or 0.0) if median is None else median
 
     def find_slow_limit(self, request_class: str) -> float | None:
-        """Return the latency from which on an answer of a class is slow, None where unknown.
+        """Return the latency beyond which an answer of a class is slow, or None if unknown.
 
-        An instance that sees a request or two of a class a second has no baseline for it in half a
-        minute; the service's latest answers of all classes stand in for it.
+        An instance that sees one or two requests of a class per second has no baseline for it
+        during its first half minute; until then the service's recent latency over all classes is
+        used instead.
         """
         limit = self._find_baseline(request_class).slow_limit
         if limit is None and self.recent_latency is not None:
@@ -142,7 +147,7 @@
         return limit
 
     def take_overdue(self, now: float) -> list[Attempt]:
-        """Return the attempts that became overdue since the last call, none in saturation."""
+        """Return the attempts that became overdue since the last call; none under saturation."""
         if self._slow_share >= SATURATED_SHARE:
             return []
         overdue = [item for item in self._attempts.values() if self._is_overdue(item, now)]
@@ -157,7 +162,7 @@
         return limit is not None and now - attempt.dispatch.started > limit
 
     def mark_overdue(self, now: float) -> None:
-        """Count attempts as slow that are in flight for longer than is usual."""
+        """Count attempts in flight as slow, and later as failed, when they take unusually long."""
         if now < self._overdue_at:
             return
         self._overdue_at = now + OVERDUE_CHECK_SECONDS
@@ -215,17 +220,17 @@
 class DigestSchedule:
     """Decides when an instance sends a digest.
 
-    The load it is for: an assessor that hears of dozens of instances. The harm: with a call from
-    each several times a second it is busy with digests, nearly all of which say that all is well.
-    So they go out once a second, and at once, but not within URGENT_SECONDS, when something failed
-    or most of a server's answers were slow.
+    An assessor receives digests from dozens of instances. With several calls per second from each,
+    it would be busy with digests that nearly all report nothing abnormal. So digests are sent once
+    a second, and earlier, but at least URGENT_SECONDS apart, when something failed, most of a
+    server's answers were slow, or there are strikes to report.
     """
 
     def __init__(self) -> None:
         self._sent_at = -inf
 
     def is_due(self, tracks: Iterable[ServerTrack], has_strikes: bool, now: float) -> bool:
-        """Tell whether a digest is to be sent now, and count it as sent."""
+        """Return whether a digest is due now; if so, it counts as sent."""
         elapsed = now - self._sent_at
         if elapsed < URGENT_SECONDS:
             return False
@@ -240,7 +245,7 @@
 
 
 def take_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
-    """Return the lines of the next digest, abnormal servers first, and count them as told."""
+    """Return the lines of the next digest, abnormal servers first, and mark them as sent."""
     due = [track for track in tracks if _is_due(track, now)]
     due.sort(key=lambda track: (not track.is_abnormal, track.told_at))
     return tuple(track.take_evidence(now) for track in due[:MAX_SERVERS_IN_DIGEST])
--- a/packages/decisions/src/persimmonusher_decisions/evidence_messages.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence_messages.py
@@ -1,8 +1,8 @@
 """Typed messages between entry instances and a service's assessor.
 
-All times are durations in seconds, never clock readings: monotonic clocks of two instances have
-nothing in common. Every collection is bounded by the constants here, so that a digest and an
-ejection set keep a known size on the wire, whatever fails.
+All times are durations in seconds, never clock readings: monotonic clocks of different instances
+can't be compared. The constants here bound collections, so that messages have a limited size on the
+wire, whatever fails.
 """
 
 from dataclasses import dataclass
@@ -19,31 +19,35 @@
 
 @dataclass(frozen=True)
 class ServerEvidence:
-    """What one entry instance saw of one server's real work since its last digest of it."""
+    """One entry instance's counts for one server since its last line on it."""
 
     server_id: ServerId
     answered: int
-    """Attempts that ended and say something of the server, well or badly."""
+    """Attempts that count for or against the server, successful or failed; ones that are stuck in
+    flight included."""
     failed: int
-    """Those of them that failed: answers of class 5xx, timeouts, broken connections, refusals."""
+    """Those of them that failed: answers of class 5xx, timeouts, broken or failed connections,
+    refusals without a reported load, and stuck attempts."""
     timed: int
-    """Attempts whose latency was compared with that of the service's other servers."""
+    """Attempts whose latency was compared with the usual one of their class."""
     slow: int
-    """Those of them beyond the service's usual latency, ones still in flight included."""
+    """Those of them beyond the usual latency, ones still in flight and refusals with a reported
+    load included."""
 
 
 class StrikeKind(Enum):
-    """What is told of a request's fingerprint."""
+    """What a strike reports of a request's fingerprint."""
 
     CRASH = "crash"
-    """It was in flight on a server whose connections all broke at once."""
+    """Its connection broke while it was in flight, and shortly after no other request in flight
+    there was answered."""
     SUCCESS = "success"
-    """It was answered well since its first strike: it isn't what broke the server."""
+    """The request was answered successfully after its first strike: it didn't break the server."""
 
 
 @dataclass(frozen=True)
 class Strike:
-    """One observation on a request that may crash the servers which run it."""
+    """One observation of a request that may crash the servers that run it."""
 
     fingerprint: str
     server_id: ServerId
@@ -52,10 +56,10 @@
 
 @dataclass(frozen=True)
 class EvidenceDigest:
-    """Changed or abnormal evidence of one entry instance on one service.
+    """Unsent evidence of one entry instance on one service.
 
-    `sequence` rises by one with each digest of an instance; an assessor takes each only once, so
-    a digest that is sent again or arrives late counts for nothing.
+    `sequence` rises by one with each digest of an instance. An assessor accepts only rising ones,
+    so a digest that is sent again or is overtaken by a newer one is ignored.
     """
 
     service: ServiceName
@@ -64,36 +68,36 @@
     """Rises with each start of the instance."""
     sequence: int
     failure_domain: FailureDomain
-    """The domain of the instance that looks."""
+    """The domain of the observing instance."""
     servers: tuple[ServerEvidence, ...]
     strikes: tuple[Strike, ...]
 
 
 class EjectionState(Enum):
-    """How far a server is out."""
+    """Whether a server is fully ejected or on probation."""
 
     EJECTED = "ejected"
-    """Takes no work."""
+    """Gets no requests."""
     PROBATION = "probation"
-    """Takes a little live idempotent work, whose outcome decides on its return."""
+    """Gets a few live idempotent requests, whose outcomes decide on its return."""
 
 
 @dataclass(frozen=True)
 class Ejection:
-    """One server that instances of one failure domain should keep work from, and why."""
+    """A server that instances of one failure domain should avoid, and the reason."""
 
     server_id: ServerId
     seen_from: FailureDomain
     state: EjectionState
     reason: str
-    """For operators, with the figures the verdict rests on."""
+    """For operators, with the figures behind the verdict."""
     strength: float
-    """The evidence against it; the floor keeps the weakest in place first."""
+    """Strength of the evidence; the floor keeps servers with the weakest evidence in place."""
 
 
 @dataclass(frozen=True)
 class QuarantinedRequest:
-    """A fingerprint to refuse at once, for so many seconds more, with the servers it broke."""
+    """A fingerprint to refuse for `seconds_left` more, with the servers that it broke."""
 
     fingerprint: str
     seconds_left: float
@@ -102,11 +106,11 @@
 
 @dataclass(frozen=True)
 class EjectionSet:
-    """An assessor's whole verdict on one service; each set replaces the one before it.
+    """An assessor's complete verdict on one service; each set replaces the one before it.
 
-    It is a lease: without a newer set it lapses `lease_seconds` after the entry instance *sent
-    the digest that it answers*, or asked for it, so that time on the way never lengthens it. Sets
-    of one assessor are ordered by (epoch, sequence); `epoch` is the assessor's incarnation.
+    It is a lease: without a newer set it lapses `lease_seconds` after the entry instance *sent*
+    the digest, or the request, that it answers, so that network delay never extends it. Sets of one
+    assessor are ordered by (epoch, sequence); `epoch` is the assessor's incarnation.
     """
 
     service: ServiceName
@@ -117,17 +121,17 @@
     ejections: tuple[Ejection, ...]
     quarantines: tuple[QuarantinedRequest, ...]
     watched: tuple[str, ...]
-    """Fingerprints with strikes; an instance that sees one answered well says so."""
+    """Fingerprints with strikes; an instance that sees one answered successfully reports it."""
     note: str
-    """Why fewer servers are out than look ill, such as a common cause; empty otherwise."""
+    """Why fewer servers are ejected than look faulty, such as a common cause; else empty."""
 
     @property
     def freshness(self) -> tuple[int, int]:
-        """Return what orders two sets of the same assessor."""
+        """Return the key that orders sets of the same assessor, newest last."""
         return (self.epoch, self.sequence)
 
     def tells_other_than(self, before: "EjectionSet") -> bool:
-        """Tell whether instances need this set at once, and not only with the next renewal."""
+        """Return whether the verdicts differ, so that instances need this set before a renewal."""
         return self._list_verdicts() != before._list_verdicts()
 
     def _list_verdicts(self) -> tuple[object, ...]:
--- a/packages/decisions/src/persimmonusher_decisions/fair_queue.py
+++ b/packages/decisions/src/persimmonusher_decisions/fair_queue.py
@@ -7,23 +7,23 @@
 from persimmonusher_model.identifiers import CallerId
 
 LOOKUP_ROOM: Final = 0.75
-"""Part of the queue that idempotent requests may fill; the rest is kept for the others."""
+"""Part of the queue that idempotent requests may fill; the rest is reserved for others."""
 TURNS_FOR_NON_IDEMPOTENT: Final = 3
 """Non-idempotent requests released for each idempotent one while both wait."""
 
 
 class Lane:
-    """First in, first out for each caller, and the callers in turn."""
+    """A FIFO queue for each caller, served round-robin."""
 
     def __init__(self) -> None:
         self._callers: OrderedDict[CallerId, deque[Request]] = OrderedDict()
         self.count = 0
 
     def has_room(self, caller: CallerId, limit: int) -> bool:
-        """Tell whether the caller may wait in this lane of `limit` places.
+        """Return whether the caller may queue another request in this lane of `limit` places.
 
-        A caller may take the lane's places divided by the waiting callers plus one, so there is
-        always room for a caller that comes next, and nobody who waits is ever put out again.
+        A caller may use the lane's places divided by the number of waiting callers plus one, which
+        leaves room for the next caller, so no waiting request is ever evicted.
         """
         if self.count >= limit:
             return False
@@ -38,7 +38,7 @@
         return sum(min(rounds, len(waiting)) for waiting in self._callers.values())
 
     def push(self, request: Request) -> None:
-        """Append a request to its caller's."""
+        """Append a request to its caller's queue."""
         self._callers.setdefault(request.caller, deque()).append(request)
         self.count += 1
 
@@ -54,7 +54,7 @@
         return request
 
     def remove(self, request: Request) -> bool:
-        """Remove a request wherever it is; False where it isn't here."""
+        """Remove a request from any position; False if it isn't here."""
         waiting = self._callers.get(request.caller)
         if waiting is None or request not in waiting:
             return False
@@ -65,17 +65,17 @@
         return True
 
     def list_requests(self) -> list[Request]:
-        """List all that wait here."""
+        """List all waiting requests, grouped by caller."""
         return [request for waiting in self._callers.values() for request in waiting]
 
 
 class FairQueue:
     """Two lanes, for non-idempotent and idempotent requests.
 
-    The load it is for: demand near and above capacity. The harm: one caller's or one class's burst
-    makes all others wait; and a late entry that is refused costs more than a lookup that is
-    repeated. So non-idempotent requests have places that lookups can't fill and three turns for
-    each lookup's one; the one turn is kept so that lookups don't starve.
+    When demand is near or above capacity, a burst of one caller or class would make all others
+    wait; and refusing a request that changes state costs more than repeating a lookup. So
+    non-idempotent requests have places that lookups can't fill, and are released three times for
+    each lookup; the one release keeps lookups from starving.
     """
 
     def __init__(self) -> None:
@@ -87,7 +87,7 @@
         return self._changing.count + self._lookups.count
 
     def has_room(self, request: Request, limit: int) -> bool:
-        """Tell whether the request may wait, with `limit` places in all."""
+        """Return whether the request may be queued, with `limit` places in total."""
         if len(self) >= limit:
             return False
         if request.idempotent:
@@ -100,11 +100,11 @@
         return lane.count_ahead(request.caller)
 
     def push(self, request: Request) -> None:
-        """Let a request wait."""
+        """Append a request to its lane; `has_room` isn't checked again."""
         (self._lookups if request.idempotent else self._changing).push(request)
 
     def pop(self) -> Request:
-        """Remove the request whose turn it is; the queue isn't empty."""
+        """Remove and return the request whose turn it is; the queue must not be empty."""
         if not self._lookups.count:
             return self._changing.pop()
         if self._changing.count and self._turns < TURNS_FOR_NON_IDEMPOTENT:
@@ -114,9 +114,9 @@
         return self._lookups.pop()
 
     def remove(self, request: Request) -> bool:
-        """Remove a request that waits; False where it doesn't."""
+        """Remove a waiting request; False if it isn't in the queue."""
         return (self._lookups if request.idempotent else self._changing).remove(request)
 
     def list_requests(self) -> list[Request]:
-        """List all that wait."""
+        """List all waiting requests, non-idempotent ones first."""
         return self._changing.list_requests() + self._lookups.list_requests()
--- a/packages/decisions/src/persimmonusher_decisions/floor.py
+++ b/packages/decisions/src/persimmonusher_decisions/floor.py
@@ -1,4 +1,4 @@
-"""The floor under ejection: how much of a service's capacity stays in place, whatever is seen."""
+"""The floor: the part of a service's capacity that ejection leaves in place in any case."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A server that evidence speaks against; the stronger it does, the sooner it goes."""
+    """A server with evidence against it; those with the strongest evidence are ejected first."""
 
     server_id: ServerId
     strength: float
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class FloorVerdict:
-    """Which candidates may be out at the same time, and which the floor keeps in place."""
+    """The candidates that may be ejected together, and those that the floor keeps in place."""
 
     out: tuple[ServerId, ...]
     held_back: tuple[ServerId, ...]
@@ -25,15 +25,15 @@
 def keep_floor(
     candidates: Iterable[Candidate], slots: Mapping[ServerId, int], floor_percent: int
 ) -> FloorVerdict:
-    """Choose the strongest candidates whose slots together leave the floor in place.
+    """Choose the candidates with the strongest evidence whose ejection leaves the floor in place.
 
-    `slots` are those of all servers that are ready now. The load it is for: mass failure, when
-    most servers look ill. The harm: the few left would be overrun and fail as well. Why the limit
-    is in slots and rounded towards staying: servers of unequal size, and small fleets, where one
-    server more is a tenth of all capacity. One server always stays, also with a floor of 0.
+    `slots` are those of all servers that are ready now. In a mass failure, when most servers look
+    faulty, the few left would be overloaded and fail as well. The limit is in slots and rounded
+    towards keeping servers, as servers differ in size, and in a small fleet one more server may be
+    a tenth of all capacity. One server always stays, even with a floor of 0.
 
-    The assessor calls it for the whole fleet and each entry instance again on its own view, so
-    that a verdict made on a stale list of servers can't break the floor where it is applied.
+    The assessor calls it for the whole fleet, and each entry instance again on its own view, so
+    that a verdict based on a stale list of servers can't violate the floor where it is applied.
     """
     ranked = sorted(candidates, key=lambda candidate: (-candidate.strength, candidate.server_id))
     total = sum(slots.values())
--- a/packages/decisions/src/persimmonusher_decisions/further_attempts.py
+++ b/packages/decisions/src/persimmonusher_decisions/further_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a request after its first one: elsewhere after a failure, or a copy beside it."""
+"""Attempts of a request after its first one: retries after a failure, and hedged copies."""
 
 from typing import Final
 
@@ -21,12 +21,12 @@
 from persimmonusher_model.profile import Profile
 
 UNREACHED_ATTEMPTS: Final = 5
-"""Servers in a row that may be out of reach before a request is given up on: each costs the time
-of a connection, and a cut that hides so many hides them all."""
+"""Unreachable servers after which a request is refused: each costs the time of a connection
+attempt, and a network cut that affects this many affects all."""
 
 
 class FurtherAttempts:
-    """Decides whether a request is sent again; one for a service at an instance."""
+    """Decides on retries and hedges; there is one for each service at an instance."""
 
     def __init__(
         self,
@@ -45,7 +45,10 @@
         self._quarantine = quarantine
 
     def retry(self, profile: Profile, dispatch: Dispatch, outcome: Outcome, now: float) -> Decision:
-        """Decide on another attempt of a request whose last one has ended, safely as to running."""
+        """Decide on another attempt of a request whose last attempt has ended.
+
+        The calling code has checked that the request may safely be run again.
+        """
         request = dispatch.request
         if outcome.kind in (OutcomeKind.UNREACHED, OutcomeKind.WITHHELD):
             return self._retry_unsent(dispatch, now)
@@ -73,13 +76,13 @@
         return self._admission.refuse_shed(request, reason, recent, now)
 
     def hedge(self, profile: Profile, dispatch: Dispatch, now: float) -> Dispatch | None:
-        """Decide on a second copy of an idempotent request in flight; None is no.
+        """Return a hedged copy of an idempotent request in flight, or None.
 
-        The load it is for: a service whose slots are all taken, so that answers are slow. The harm:
-        copies of what waits in one queue wait in another, and take the place of first attempts. So
-        a copy goes only to a server whose queue is short.
+        If all slots of a service are taken, answers are slow, and copies of requests that wait in
+        one server's queue would only wait in another and displace first attempts. So a copy is sent
+        only to a server with a short queue.
 
-        Both copies are finished exactly once each; the one that lost as CANCELLED.
+        Both copies must be finished exactly once each; the one that lost as CANCELLED.
         """
         track = self._placement.choose(True, dispatch.server.server_id, now)
         if track is None or track.load > CROWDED:
@@ -90,7 +93,7 @@
         return self._dispatcher.start(dispatch.request, track, dispatch.attempt + 1, now)
 
     def _retry_unsent(self, dispatch: Dispatch, now: float) -> Decision:
-        """Place a request again of which no byte left; that costs no server any work."""
+        """Place a request again of which no byte was sent, so no server has worked on it."""
         request = dispatch.request
         if not self._is_late(dispatch, now) and dispatch.unreached + 1 < UNREACHED_ATTEMPTS:
             tried = dispatch.server.server_id
@@ -102,11 +105,11 @@
         return refusal or self._admission.refuse(request, RefusalReason.OVERLOAD, now)
 
     def _refuse_closed(self, request: Request, now: float) -> Refusal | None:
-        """Refuse a request that was not run until the first server opens, if all are closed."""
+        """Refuse a request that was not run, until the first server opens, if all are closed."""
         closed = self._placement.find_seconds_closed(now)
         return self._admission.refuse_closed(request, closed) if closed else None
 
     def _is_late(self, dispatch: Dispatch, now: float) -> bool:
-        """Tell whether usual work would end only after the request's deadline."""
+        """Return whether an answer after the usual latency would miss the request's deadline."""
         usual = self._evidence.find_usual_latency(dispatch.request.request_class)
         return now + usual > dispatch.request.deadline
--- a/packages/decisions/src/persimmonusher_decisions/hedging.py
+++ b/packages/decisions/src/persimmonusher_decisions/hedging.py
@@ -1,4 +1,4 @@
-"""Whether and when a second copy of a slow idempotent request is sent."""
+"""Hedged requests: whether and when a second copy of a slow idempotent request is sent."""
 
 from typing import Final
 
@@ -7,21 +7,21 @@
 from persimmonusher_model.profile import Profile
 
 LATEST_SHARE: Final = 0.5
-"""Part of a request's whole time after which its copy goes out at the latest: the copy needs as
-long as the work takes."""
+"""Part of the time left to a request after which its copy is sent at the latest, so that there is
+time for the copy to be answered."""
 BUDGET_SHARE: Final = 0.5
-"""Part of the retry budget that copies may use: a failed request needs its second attempt more than
-one that may still be answered."""
+"""Part of the retry budget that hedged requests may use: a failed request needs a second attempt
+more than one that may still be answered."""
 
 
 def find_hedge_delay(
     profile: Profile, request: Request, slow_limit: float | None, now: float
 ) -> float | None:
-    """Return the seconds after which a copy may go out, None where none may.
+    """Return the seconds after which a copy may be sent, or None if none may.
 
-    The load it is for: a server that hangs, or a way that swallows what is sent, while its health
-    is good. The harm: its requests end with the time of their callers, unanswered. So a copy goes
-    out once the class's answers hardly ever take as long, which follows from what was observed.
+    A server may hang, or the network path to it may drop packets, while its health check passes;
+    its requests would time out unanswered. So a copy is sent once a request has been in flight for
+    longer than answers of its class usually take, by the observed latencies (`slow_limit`).
     """
     if profile.hedge_after_ms:
         return profile.hedge_after_ms / 1000.0
@@ -34,12 +34,12 @@
 def may_hedge(
     profile: Profile, dispatch: Dispatch, budget: RetryBudget, waiting: int, now: float
 ) -> bool:
-    """Tell whether a copy may go out, and pay for it from the retry budget.
+    """Return whether a copy may be sent; if so, it is charged to the retry budget.
 
-    The load it is for: a few requests on a server that just became slow, with slots free on
-    others. The harm: under overload all requests are slow, and copies of them would double the
-    load. So nothing is hedged while requests wait for a server, only first attempts are, and
-    copies share the budget with retries.
+    Hedging is for a few requests on a server that just became slow while others have free slots.
+    Under overload all requests are slow, and copies of them would double the load. So nothing is
+    hedged while requests wait for a server, only first attempts are hedged, and copies share the
+    budget with retries.
     """
     if waiting or not (profile.hedge_after_ms or profile.hedge_slow):
         return False
--- a/packages/decisions/src/persimmonusher_decisions/latency.py
+++ b/packages/decisions/src/persimmonusher_decisions/latency.py
@@ -1,4 +1,4 @@
-"""The usual latency of one class of requests, over all servers of a service."""
+"""The latency baseline of one class of requests, over all servers of a service."""
 
 from math import log2
 from typing import Final
@@ -7,27 +7,27 @@
 BUCKETS: Final = 96
 SMALLEST_SECONDS: Final = 0.0001
 SLOW_FACTOR: Final = 3.0
-"""An answer is slow beyond so many times the median. The median, not a high quantile: where a
-class mixes short and long work a high quantile is the long work's, and short work on a server
-8 times slower would pass for usual."""
+"""An answer is slow beyond this many times the median. A high quantile wouldn't do: if a class
+mixes short and long work, a high quantile is that of the long work, and short work on a server that
+is 8 times slower would count as usual."""
 RARE_SHARE: Final = 0.99
 STUCK_RARE_FACTOR: Final = 1.5
 STUCK_FACTOR: Final = 30.0
-"""An attempt is stuck beyond so many times the 99th percentile, and the median: well servers reach
-that in fewer than one answer of a hundred, which the test takes for usual. The median's factor is
-large, for as long as there are too few samples for a 99th percentile: with a small one, an instance
-that has just started would take ordinary long work for stuck, and well servers would be ejected at
-the onset of overload."""
+"""An attempt is stuck beyond both STUCK_RARE_FACTOR times the 99th percentile and STUCK_FACTOR
+times the median. Fewer than one answer in a hundred of healthy servers takes as long, which the
+sequential test counts as usual. The median's factor is large because at first there are too few
+samples for a 99th percentile: with a small factor, an instance that has just started would count
+ordinary long work as stuck, and healthy servers would be ejected at the onset of an overload."""
 FEWEST_SAMPLES: Final = 32
 REFRESH_SAMPLES: Final = 64
 MEMORY_SAMPLES: Final = 1024
 
 
 class LatencyBaseline:
-    """A fading log-linear histogram of latencies in seconds, with the limit of what is slow.
+    """A decaying logarithmic histogram of latencies in seconds, and the limits derived from it.
 
-    It holds MEMORY_SAMPLES at most and then halves its counts, so that it follows a change of
-    load within some hundred answers. Quarter octaves are within 19%, enough for a factor of 3.
+    From MEMORY_SAMPLES samples on it halves its counts, so that it follows a change of load within
+    some hundred answers. Its quarter-octave buckets are accurate to 19%, enough for a factor of 3.
     """
 
     def __init__(self) -> None:
@@ -36,9 +36,9 @@
         self._until_refresh = FEWEST_SAMPLES
         self.median: float | None = None
         self.slow_limit: float | None = None
-        """Latency beyond which an answer counts as slow; None until there is a baseline."""
+        """Latency beyond which an answer counts as slow; None before FEWEST_SAMPLES samples."""
         self.stuck_limit: float | None = None
-        """Time in flight beyond which an attempt counts as failed, before it ends."""
+        """Time in flight beyond which an attempt counts as failed although it hasn't ended."""
 
     def record(self, latency: float) -> None:
         """Add a successful answer's latency."""
--- a/packages/decisions/src/persimmonusher_decisions/learning.py
+++ b/packages/decisions/src/persimmonusher_decisions/learning.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches the parts that decide on the next requests."""
+"""Passes the outcome of each attempt to the parts that decide on later requests."""
 
 from collections.abc import Collection
 from typing import Final
@@ -20,17 +20,17 @@
     OutcomeKind.REFUSED: 0.25,
     OutcomeKind.UNREACHED: 1.0,
 }
-"""Share of its slots by which a server is taken to be busier after an outcome. A refusal for being
-full is no fault, but the next request had better go elsewhere. A failure's is small on purpose:
-a server that fails half its work would otherwise lose nearly all of it, and with it the answers by
-which the assessor can tell, so that it would be out later."""
+"""Load that is added to a server after an outcome, as a share of its slots. A refusal by a full
+server is no fault, but the next request had better go elsewhere. The penalty for a failure is small
+on purpose: with a larger one, a server that fails half its work would lose nearly all of it, and
+with it the answers that the assessor needs as evidence, so it would be ejected later."""
 SILENT_REFUSAL_PENALTY: Final = 1.0
-"""The same share for a refusal that tells no load: the server's queue, several times its slots, is
-full or it is ill, and nothing else will say when it has room again."""
+"""Penalty for a refusal without a reported load: either the server's queue, several times its
+slots, is full, or the server is faulty, and nothing else will show when it has room again."""
 
 
 class OutcomeLearning:
-    """Hands each outcome to the parts that it concerns; one for a service at an instance."""
+    """Passes each outcome to the parts concerned; one for each service at an instance."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._suspicion = suspicion
 
     def take_success(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Learn from a good answer."""
+        """Learn from a successful answer."""
         dispatch, track = attempt.dispatch, attempt.track
         fingerprint = dispatch.request.fingerprint
         self._quarantine.record_success(fingerprint, track.server_id, dispatch.started)
@@ -82,7 +82,10 @@
             self._evidence.learn(attempt, outcome)
 
     def take_load(self, track: ServerTrack, outcome: Outcome, now: float) -> None:
-        """Learn what an answer says of the server's load, after the attempt was taken off."""
+        """Learn from the load that an answer reports.
+
+        Call it after the attempt was removed from those in flight, since the load counts the rest.
+        """
         load = outcome.reported_load
         if load is not None:
             self._placement.learn_load(track, load)
@@ -91,7 +94,7 @@
             self._window.record_answer(ratio, len(self._evidence), now)
 
     def _is_excused(self, dispatch: Dispatch, kind: OutcomeKind) -> bool:
-        """Tell whether a request, and not the server that it broke, is to blame."""
+        """Return whether a break counts against the request rather than against the server."""
         server_id = dispatch.server.server_id
         fingerprint = dispatch.request.fingerprint
         return kind is OutcomeKind.BROKEN and self._quarantine.is_suspected(fingerprint, server_id)
--- a/packages/decisions/src/persimmonusher_decisions/notices.py
+++ b/packages/decisions/src/persimmonusher_decisions/notices.py
@@ -1,4 +1,4 @@
-"""What entry instances tell each other at once, without an assessor in between."""
+"""Notices that entry instances send each other at once, without waiting for the assessor."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,25 +7,26 @@
 
 
 class NoticeKind(Enum):
-    """What was seen of a server."""
+    """The event at a server that a notice reports."""
 
     FAILED = "failed"
-    """It failed real work at once."""
+    """A request timed out, or failed much sooner than answers usually take; also any failure while
+    that time isn't known yet."""
     FAILED_LATE = "failed-late"
-    """It failed real work after about the time that work takes."""
+    """A request failed after a time in which it may have been processed."""
     UNREACHED = "unreached"
-    """No connection to it could be had from the instance that tells."""
+    """The reporting instance could not connect to the server."""
     RECOVERED = "recovered"
-    """It did a lookup well that was sent to it while it was passed by."""
+    """A request that was sent to the server while it was suspected was answered successfully."""
     LIMITED = "limited"
-    """It named another limit of the requests that it takes, or none any more."""
+    """The server changed or removed its rate limit."""
     CRASHED = "crashed"
-    """Its connection broke while it ran the request of the fingerprint."""
+    """A connection broke while the request with the notice's fingerprint was in flight on it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One failure, or recovery, that one instance saw. A lost notice costs nothing but time."""
+    """One event at a server that one instance saw. A lost notice only delays others' reactions."""
 
     kind: NoticeKind
     service: ServiceName
@@ -33,9 +34,9 @@
     boot_id: int
     fingerprint: str = ""
     request_id: RequestId = RequestId("")
-    """The request that showed it, so that one failure told twice isn't taken for two."""
+    """The request that showed the event, so that a notice that arrives twice counts once."""
     seconds: float = 0.0
-    """Of a recovery, or of a limit: how long ago the request was sent whose answer showed it. What
-    was learned later isn't undone by it."""
+    """For RECOVERED and LIMITED: how long ago the request was sent whose answer showed the event.
+    What was learned after that time isn't undone by the notice."""
     rate_limit: float | None = None
-    """Of a limit: requests a second from all instances together, None where there is none now."""
+    """For LIMITED: requests per second from all instances together, None if the limit ended."""
--- a/packages/decisions/src/persimmonusher_decisions/peers.py
+++ b/packages/decisions/src/persimmonusher_decisions/peers.py
@@ -1,4 +1,4 @@
-"""The evidence on a service's servers as seen from one place, each weighed against the others."""
+"""The evidence on a service's servers from one point of view, each compared with its peers."""
 
 from collections.abc import Iterable
 from statistics import median
@@ -18,23 +18,23 @@
 from persimmonusher_model.identifiers import ServerId
 
 RECENT_SECONDS: Final = 0.3
-"""Memory of the recent shares: three slices, since a common cause must raise the usual share before
-the test on any single server crosses its threshold. With a longer memory, servers that the cause
+"""Memory of the recent shares: three slices. A common cause must raise the usual share before the
+test of any single server crosses its threshold; with a longer memory, servers that the cause
 reaches first would be ejected for it."""
 LASTING_SECONDS: Final = 15.0
 """Memory of the lasting shares, which smooth over the few answers of a quiet service."""
 FEWEST_ANSWERS: Final = 2.0
-"""Answers in memory below which a server says nothing on what is usual."""
+"""Decayed count of answers below which a server's share isn't used for the median."""
 LARGEST_USUAL: Final = 0.9
 SATURATED_SHARE: Final = 0.6
-"""Usual share of slow answers from which on slowness says nothing: the service is saturated, and
-which server is the slowest is a matter of queues."""
+"""Usual share of slow answers from which slowness isn't evaluated: the service is saturated, and
+which server is the slowest depends only on queues."""
 COMMON_CAUSE_SHARE: Final = 0.08
-"""Failing share of the middle server from which on a common cause is reported."""
+"""Median failing share of the servers from which a common cause is reported."""
 
 
 class Share:
-    """A share of bad answers with exponentially fading memory."""
+    """A share of bad answers with exponential decay."""
 
     __slots__ = ("bad", "keep", "total")
 
@@ -44,18 +44,18 @@
         self.total = 0.0
 
     def add(self, bad: int, total: int) -> None:
-        """Let one slice pass with these answers."""
+        """Decay by one slice and add its answers."""
         self.bad = self.bad * self.keep + bad
         self.total = self.total * self.keep + total
 
     @property
     def value(self) -> float:
-        """Return the share, 0 where there were no answers."""
+        """Return the share, or 0 if there were no answers."""
         return self.bad / self.total if self.total > 0.0 else 0.0
 
 
 class Symptom:
-    """One thing that can be wrong with a server, failing or being slow, as seen from one place."""
+    """The evidence that a server is failing, or that it is slow, from one point of view."""
 
     __slots__ = ("bad", "lasting", "recent", "test", "total")
 
@@ -67,12 +67,12 @@
         self.test = SequentialTest()
 
     def add(self, bad: int, total: int) -> None:
-        """Take answers into the slice that is open."""
+        """Add answers to the open slice."""
         self.bad += bad
         self.total += total
 
     def remember(self) -> None:
-        """Take the open slice into both memories."""
+        """Add the open slice to the recent and the lasting share."""
         self.recent.add(self.bad, self.total)
         self.lasting.add(self.bad, self.total)
 
@@ -82,7 +82,7 @@
         self.total = 0
 
     def reset(self) -> None:
-        """Forget what speaks against the server, such as after its restart."""
+        """Drop all evidence against the server, for example after its restart."""
         self.open_slice()
         self.recent = Share(RECENT_SECONDS)
         self.lasting = Share(LASTING_SECONDS)
@@ -90,7 +90,7 @@
 
 
 class ServerView:
-    """One server as seen from one place."""
+    """The evidence on one server from one point of view."""
 
     __slots__ = ("failing", "slow")
 
@@ -104,13 +104,13 @@
         return max(self.failing.test.score, self.slow.test.score)
 
     def reset(self) -> None:
-        """Forget what speaks against the server."""
+        """Drop all evidence against the server."""
         self.failing.reset()
         self.slow.reset()
 
 
 class View:
-    """All servers of a service as seen from one failure domain, or from all together."""
+    """The evidence on all servers of a service, from one failure domain or from all together."""
 
     def __init__(self) -> None:
         self.servers: dict[ServerId, ServerView] = {}
@@ -119,13 +119,13 @@
         self.middle_failing = 0.0
 
     def keep_servers(self, server_ids: Iterable[ServerId]) -> None:
-        """Forget servers that are gone."""
+        """Drop the servers that aren't in `server_ids`."""
         known = set(server_ids)
         for server_id in [name for name in self.servers if name not in known]:
             del self.servers[server_id]
 
     def add(self, evidence: ServerEvidence) -> None:
-        """Take one digest's line on one server."""
+        """Add one digest's line on one server."""
         server = self.servers.get(evidence.server_id)
         if server is None:
             server = self.servers[evidence.server_id] = ServerView()
@@ -133,13 +133,13 @@
         server.slow.add(evidence.slow, evidence.timed)
 
     def close_slice(self, sensitivity: Sensitivity) -> None:
-        """Weigh each server's open slice against what is usual among its peers.
+        """Compare each server's open slice with the usual shares of its peers, and start a new one.
 
-        The load it is for: a deployment, a shared dependency or this place's own network makes
-        many servers look ill at the same moment. The harm: ejecting well servers for a cause that
-        follows the work to the next server. So what is usual is the middle server's share, of the
-        last seconds or of the last slices, whichever is higher: it can't be moved by fewer than
-        half of the servers, and moves at once when more are hit.
+        A deployment, a shared dependency or the observers' own network may make many servers look
+        faulty at the same moment. Ejecting them would remove healthy servers for a cause that
+        follows the work to the next server. So the usual share is the median over the servers, of
+        the lasting or of the recent shares, whichever is higher: fewer than half of the servers
+        can't move it, and it moves at once when more are affected.
         """
         for server in self.servers.values():
             server.failing.remember()
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -1,4 +1,4 @@
-"""Where one request goes: the least loaded server, as far as this instance can know."""
+"""Placement: chooses the least loaded server for a request, as far as this instance can know."""
 
 from collections.abc import Iterable, Sequence
 from itertools import chain, islice
@@ -13,58 +13,61 @@
 from persimmonusher_model.identifiers import FailureDomain, ServerId
 
 REFRESH_SECONDS: Final = 0.1
-"""Reports and penalties fade in steps of this length, so that the hot path only adds."""
+"""Reports and penalties decay in steps of this length, so that the hot path only adds."""
 REPORT_MEMORY_SECONDS: Final = 1.0
-"""After this a report counts for little, and the service's mean stands in for it."""
+"""Time constant with which a server's load report decays to the mean of all servers."""
 PENALTY_MEMORY_SECONDS: Final = 3.0
 LARGEST_PENALTY_SLOTS: Final = 2.0
-"""A server is taken for at most this many times its slots busier than it is, so that it still
-gets work when all others are that loaded: the share falls, capacity isn't removed."""
+"""Largest penalty, in multiples of a server's slots. A penalized server still gets work once all
+others are that loaded: its share falls, but its capacity stays available."""
 LEAST_PENALTY_SLOTS: Final = 1 / 32
-"""Part of a server's slots below which its penalty ends. It only fades, and between idle servers
-any rest of it would decide for good."""
+"""Part of a server's slots below which its penalty is set to 0. Decay alone never reaches 0, and
+between idle servers any remainder would always decide."""
 LEAST_DIFFERENCE: Final = 0.001
-"""Requests by which a report that fades differs from the mean at least; below, the mean counts."""
+"""Difference in requests below which a decayed report is replaced by the mean."""
 REPORT_REACH: Final = 2.0
-"""A report counts at most this many times the mean of all servers' reports, and at least the
-mean divided by it."""
+"""A report is clamped to between the mean of all servers' reports divided by this and this many
+times the mean, or the mean plus the server's slots where that is more."""
 CROWDED: Final = 2.0
-"""Load for each slot of the least loaded trusted server from which on suspected ones are used: a
-request would wait for about one answer. Earlier more of them meet an ill one, later more are
-refused in bursts."""
+"""Load per slot of the least loaded trusted server above which suspected servers are used, by
+further attempts and in services without lookups: a request would wait for about one answer. With a
+lower value more requests reach a failing server, with a higher one more are refused in bursts."""
 BUSY: Final = 1.0
-"""Load for each slot of the least loaded trusted server from which on a request would have to wait:
-then lookups, which can be sent again, try suspected servers, and all requests the spared ones."""
+"""Load per slot of the least loaded trusted server above which a request would have to wait. Then
+lookups, which can be retried, try suspected servers, and all requests may use the suspected servers
+that the floor keeps in use."""
 LOOKUP_SECONDS: Final = 4.0
-"""Time since the last lookup for which other requests leave it to lookups to try suspected servers.
-A service without lookups has no other way."""
+"""While the last lookup is more recent than this, first attempts of other requests leave it to
+lookups to try suspected servers. In a service without lookups they have to try them themselves."""
 SPARED_LOAD: Final = 0.5
-"""Load for each slot by which a server that the floor spares must be less loaded than a trusted
-one. It may well be ill, and one that fails at once looks idle."""
+"""Load per slot by which a suspected server that the floor keeps in use must be below a trusted
+one to be chosen. It is likely to be failing, and a server that fails fast looks idle."""
 PROVING_SHARE: Final = 0.5
-"""Part of the time for which a server is passed by, from its failure on, after which a lookup may
-try it: before, most are still ill."""
+"""Part of the profile's `suspect_ms` that must pass after a server's failure before a lookup may
+try it: earlier, most servers are still failing."""
 SCAN_LIMIT: Final = 16
-"""Servers looked at for one request at most. With more, a random run of this length is."""
+"""Largest number of servers examined for one request. Of a longer list, a run of this length from
+a random start is examined."""
 COMPARED: Final = 2
-"""Servers without suspicion compared for a first attempt, of the near ones and of the others each.
-What is known of other instances' work is up to half a second old: told of the same idle server, all
-of them send there until they are told again."""
+"""Unsuspected servers compared for a first attempt, from the near ones and from the far ones each.
+Load data on other instances' requests is up to half a second old: with more servers compared, all
+instances would choose the same idle server until the next update."""
 
 
 class Placement:
-    """Chooses among the servers that take work.
-
-    The load it is for: 36 to 48 instances, or 2,500, that place on the same servers with no hop
-    in between. The harm: an instance that sees its own requests only piles work on a server that
-    others have filled. So the score adds what the server said of its load on its last answer.
-    A report may lag or mislead, so it is one input, fades to the mean within a second, and is
-    kept within REPORT_REACH of the mean: a server that always reports 0 gets work as if it had
-    half the mean load, and what this instance has outstanding there counts in full.
-
-    A server that fails at once looks idle and would attract all work. So each failure adds a
-    penalty as if the server's slots were filled for some seconds. It acts on the next request and
-    fades by itself: the instance's own evidence lowers a share at once, only the assessor ejects.
+    """Chooses among the open servers: those that are ready, connectable and not ejected.
+
+    36 to 48 instances, or 2,500, place requests on the same servers with no hop in between. An
+    instance that counted only its own requests would overload a server that others have filled.
+    So the score adds the load that the server reported with its last answer. A report may be
+    stale or wrong, so it is only one input, decays to the mean within about a second, and is
+    clamped to REPORT_REACH around the mean: a server that always reports 0 gets work as if it had
+    half the mean load, and this instance's own outstanding requests there count in full.
+
+    A server that fails fast looks idle and would attract all work. So each failure adds a penalty
+    as if the server's slots were filled for some seconds. It affects the next request and decays
+    by itself: an instance's own evidence lowers a server's share at once, but only the assessor
+    ejects a server.
     """
 
     def __init__(self, failure_domain: FailureDomain, random: Random, limits: RateLimits) -> None:
@@ -82,26 +85,27 @@
         self._mean_others = 0.0
         self.ramp_seconds = 0.0
         self.proving_seconds = 0.0
-        """Time after a failure before which no lookup tries the server."""
+        """Time after a server's failure before a lookup may try it."""
         self.far_load = 0.0
-        """Load for each slot that a server in another failure domain is taken to carry."""
+        """Load per slot added to the score of a server in another failure domain."""
         self.probe_seconds = 1.0
-        """Seconds between probes of one server by this instance."""
+        """Mean interval between this instance's probes of one server."""
 
     @property
     def open_slots(self) -> int:
-        """Return the slots of all servers that take work."""
+        """Return the total slots of all open servers."""
         return sum(track.slots for track in self._open)
 
     def has_room(self, now: float) -> bool:
-        """Tell whether a server that takes work may take a request of this instance."""
+        """Return whether an open server may take a request from this instance now."""
         self._skip_turns(now)
         return any(track.may_take(now) for track in self._open)
 
     def find_seconds_closed(self, now: float) -> float:
-        """Return the time until the first server takes requests of this instance again.
+        """Return the seconds until the first open server accepts requests of this instance again.
 
-        0 where one does now, or where none takes work at all.
+        0 if one does now, or if there is no open server. Servers are closed to an instance by a
+        rate limit or by a rest that they asked for.
         """
         self._skip_turns(now)
         first = inf
@@ -112,7 +116,7 @@
         return first - now if self._open else 0.0
 
     def replace(self, tracks: Iterable[ServerTrack], now: float) -> None:
-        """Take the servers that are known, after any change of them or of who is out."""
+        """Replace the known servers; called after any change of them or of their ejections."""
         self._tracks = list(tracks)
         ready = [track for track in self._tracks if track.is_ready and track.connection_limit]
         self._open = [track for track in ready if track.out is None]
@@ -122,10 +126,10 @@
         self._refresh(now, 0.0)
 
     def choose(self, idempotent: bool, tried: ServerId | None, now: float) -> ServerTrack | None:
-        """Return the server for a request, not the one it was tried on unless it is the last.
+        """Return the server for a request; `tried` is used again only if there is no other.
 
-        A further attempt passes by all that are suspected, also those that the floor spares: there
-        are few such attempts, and a second failure is the caller's.
+        A further attempt (with `tried` given) avoids all suspected servers, also those that the
+        floor keeps in use: such attempts are few, and a second failure reaches the caller.
         """
         if now >= self._refresh_at:
             self._refresh(now, REFRESH_SECONDS)
@@ -161,15 +165,19 @@
         return self._choose_among(trusted, candidates, None, now)
 
     def _find_to_prove(self, now: float) -> ServerTrack | None:
-        """Return the suspected server that a lookup may try, a near one where there is one.
+        """Return the suspected server that a lookup may try, preferably a near one.
 
-        What one lookup shows is told to all, and each failure domain has servers to try of its own.
+        The result of a lookup is shared with all instances, and each failure domain has suspected
+        servers of its own to try.
         """
         near = self._find_longest_suspected(self._near, None, now, self.proving_seconds)
         return near or self._find_longest_suspected(self._far, None, now, self.proving_seconds)
 
     def _has_lookups(self, now: float) -> bool:
-        """Tell whether lookups go to this service, which try suspected servers at a lower price."""
+        """Return whether this service has had a lookup lately.
+
+        Lookups try suspected servers at a lower cost, since they can be retried.
+        """
         return now - self._lookup_at < LOOKUP_SECONDS
 
     def _choose_among(
@@ -179,7 +187,7 @@
         tried: ServerId | None,
         now: float,
     ) -> ServerTrack | None:
-        """Return the least loaded trusted server, or another one where those are crowded."""
+        """Return the least loaded trusted server, or a suspected one if those are crowded."""
         best = self._find_least(trusted, tried, now)
         if len(trusted) == len(candidates):
             return best
@@ -188,7 +196,7 @@
         return best or self._find_least(candidates, tried, now)
 
     def learn_load(self, track: ServerTrack, reported_load: int) -> None:
-        """Take the load that a server reported on an answer, all callers together."""
+        """Record a server's requests in progress as reported, this instance's own included."""
         others = max(0.0, float(reported_load - track.outstanding))
         mean = self._mean_others
         highest = max(REPORT_REACH * mean, mean + track.slots)
@@ -196,16 +204,16 @@
         track.base = track.others + track.penalty
 
     def penalize(self, track: ServerTrack, share: float) -> None:
-        """Lower a server's share for some seconds, by this share of its slots."""
+        """Lower a server's share of work for some seconds, as if `share` of its slots were busy."""
         largest = LARGEST_PENALTY_SLOTS * track.slots
         track.penalty = min(largest, track.penalty + share * track.slots)
         track.base = (self._mean_others if track.others is None else track.others) + track.penalty
 
     def _sample(self, now: float) -> list[ServerTrack]:
-        """Return a few open servers without suspicion, of this domain and of the others.
+        """Return a few unsuspected open servers, from this failure domain and from the others.
 
-        Those with a limit are among them, and go first among equals, as they are open to this
-        instance for a turn only.
+        Servers with a rate limit come first and so win ties, as they are open to this instance
+        only during its turn.
         """
         return [
             *(track for track in self._limited if self._may_compare(track, now)),
@@ -263,9 +271,8 @@
     ) -> ServerTrack | None:
         """Return the suspected server with a free slot whose failure is the longest ago.
 
-        The load it is for: a burst while many servers are passed by. The harm: the others' queues
-        grow until requests are refused, while servers that were ill for a moment, seconds ago,
-        stand idle.
+        In a burst while many servers are avoided, the queues of the others would grow until
+        requests are refused, while servers that failed only briefly, seconds ago, stay idle.
         """
         best = None
         for track in servers:
@@ -283,9 +290,9 @@
     def _choose_probe(self, now: float) -> ServerTrack | None:
         """Return a server on probation whose next probe is due.
 
-        The load it is for: readmission. The harm: a server that is still ill, given a full share
-        again, spoils a full share of requests. One request at a time from each instance, at
-        intervals, and only idempotent ones, which can be retried elsewhere when the probe fails.
+        A server that is readmitted with a full share while it still fails would fail a full share
+        of requests. So each instance sends it one request at a time, at intervals, and only
+        idempotent ones, which can be retried elsewhere when the probe fails.
         """
         for track in self._probed:
             if now >= track.probe_at and not track.outstanding and track.closed_until <= now:
--- a/packages/decisions/src/persimmonusher_decisions/quarantine.py
+++ b/packages/decisions/src/persimmonusher_decisions/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash the servers which run them: strikes and refusal at one entry instance."""
+"""Quarantine, at one entry instance, of requests that crash the servers that run them."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -13,14 +13,16 @@
 from persimmonusher_model.identifiers import ServerId
 
 SETTLE_SECONDS: Final = 0.1
-"""A server that still answers, so long after a connection to it broke, hasn't crashed."""
+"""A break is reported only after this time: a server that answers a request that was in flight
+before the break hasn't crashed."""
 NETWORK_SECONDS: Final = 1.0
 NETWORK_SERVERS: Final = 4
-"""Breaks on so many servers within a second are the network's: no request runs on as many, since
-crash_strikes ends it sooner and max_retries is 5 at most."""
+"""Number of servers with breaks within NETWORK_SECONDS from which the network is the cause: no
+request runs on that many, since crash_strikes stops it sooner and max_retries is at most 5."""
 MAX_REMEMBERED: Final = 4_096
-"""Fingerprints remembered for recent success, in two generations of this size."""
+"""Fingerprints with a recent success that are remembered, in each of two generations."""
 MAX_STRUCK: Final = 1_024
+"""Fingerprints with strikes that are remembered, and strikes that wait to be sent."""
 
 
 class Break:
@@ -38,13 +40,13 @@
 
 
 class Quarantine:
-    """Gives strikes to fingerprints and refuses those with enough of them.
+    """Counts strikes against fingerprints and quarantines those with enough of them.
 
-    The failure it is for: one request crashes each server that runs it, and its caller, or the
-    instance's own retry, sends it again until no server is left. It shows as connections to one
-    server that all break at once with the request in flight. Innocent requests in flight there
-    get a strike as well, but don't break a second server; a fingerprint that is answered well
-    anywhere loses its strikes; and one that was answered well lately gets none, which protects a
+    A request may crash each server that runs it, while its caller, or the instance's own retry,
+    sends it again until no server is left. The sign of a crash is that all connections to a server
+    break at once with the request in flight. Unrelated requests in flight there get a strike as
+    well, but don't break a second server. A fingerprint that is answered successfully anywhere
+    loses its strikes, and one that was answered successfully lately gets none, which protects a
     popular lookup that is in flight on every server at all times.
     """
 
@@ -61,12 +63,12 @@
         self._succeeded_before: set[str] = set()
 
     def replace_limits(self, strikes: int, seconds: float) -> None:
-        """Take a new profile's limits."""
+        """Apply a new profile's `crash_strikes` and quarantine time."""
         self._strikes = strikes
         self._seconds = seconds
 
     def find_seconds_left(self, fingerprint: str, now: float) -> float:
-        """Return for how long the fingerprint is still refused, 0 where it isn't."""
+        """Return the seconds for which the fingerprint is still quarantined; 0 if it isn't."""
         if not self._until:
             return 0.0
         until = self._until.get(fingerprint)
@@ -78,14 +80,14 @@
         return until - now
 
     def is_suspected(self, fingerprint: str, server_id: ServerId) -> bool:
-        """Tell whether the fingerprint has broken another server already."""
+        """Return whether the fingerprint has strikes from another server, or fleet-wide ones."""
         struck = self._struck.get(fingerprint)
         if struck and (len(struck) > 1 or server_id not in struck):
             return True
         return fingerprint in self._watched or fingerprint in self._until
 
     def record_success(self, fingerprint: str, server_id: ServerId, started: float) -> None:
-        """Take a good answer: it clears its fingerprint, and shows that the server lives."""
+        """Record a successful answer: it clears its fingerprint and its server's unsent breaks."""
         if len(self._succeeded) >= MAX_REMEMBERED:
             self._succeeded_before = self._succeeded
             self._succeeded = set()
@@ -99,7 +101,10 @@
             self._drop(lambda item: item.server_id == server_id and started < item.at)
 
     def record_break(self, fingerprint: str, server_id: ServerId, now: float) -> None:
-        """Take a connection that broke while this fingerprint was in flight on the server."""
+        """Record a connection that broke while this fingerprint was in flight on the server.
+
+        Nothing is recorded if the fingerprint succeeded lately, or if the network broke.
+        """
         if fingerprint in self._succeeded or fingerprint in self._succeeded_before:
             return
         if len(self._struck) >= MAX_STRUCK and fingerprint not in self._struck:
@@ -114,7 +119,7 @@
             self._until[fingerprint] = now + self._seconds
 
     def note_strike(self, fingerprint: str, server_id: ServerId, now: float) -> None:
-        """Take a break that another instance saw."""
+        """Record a break that another instance saw."""
         if fingerprint in self._succeeded or fingerprint in self._succeeded_before:
             return
         if len(self._struck) >= MAX_STRUCK and fingerprint not in self._struck:
@@ -132,11 +137,11 @@
 
     @property
     def has_news(self) -> bool:
-        """Tell whether there is something to tell the assessor, or soon will be."""
+        """Return whether there are strikes to send to the assessor, or soon may be."""
         return bool(self._outbox or self._unsettled)
 
     def take_strikes(self, now: float) -> tuple[Strike, ...]:
-        """Return what is to be told to the assessor."""
+        """Return and clear the strikes to send to the assessor."""
         while self._unsettled and now - self._unsettled[0].at >= SETTLE_SECONDS:
             item = self._unsettled.popleft()
             if item.fingerprint in self._struck:
@@ -148,10 +153,10 @@
     def apply(
         self, quarantines: Iterable[QuarantinedRequest], watched: Iterable[str], now: float
     ) -> None:
-        """Take the fleet's quarantines; those known here stay until their own end.
+        """Apply the fleet's quarantines; those known here last until their own end.
 
-        They aren't bound to the assessor's lease: a cut-off assessor must not set free a request
-        that crashes servers.
+        They don't depend on the assessor's lease: when the assessor is isolated, a request that
+        crashes servers must not be released.
         """
         for item in quarantines:
             seconds = min(item.seconds_left, self._seconds)
--- a/packages/decisions/src/persimmonusher_decisions/quota_shares.py
+++ b/packages/decisions/src/persimmonusher_decisions/quota_shares.py
@@ -1,9 +1,9 @@
-"""One keeper's share of the organisations' quotas.
+"""One keeper's share of the organisations' quotas, as a token bucket for each organisation.
 
-Each keeper owns a fixed part of the tokens that an organisation earns, and may grant no others than
-its own and those that another keeper has given up to it. So all of them together never grant more
-than the quota, whoever is lost, cut off, frozen or started again, and nobody has to know who else
-is at work.
+Each keeper owns a fixed part of the tokens that an organisation earns, and grants only its own
+tokens and those that another keeper has transferred to it. So all keepers together never grant more
+than the quota, whichever of them are lost, isolated, frozen or restarted, and no keeper has to know
+which others are running.
 """
 
 from collections import OrderedDict
@@ -14,59 +14,60 @@
 from persimmonusher_model.organisations import RequestQuota
 
 DEPTH_SLACK: Final = 0.3
-"""Part of the slack by which more tokens are kept than the burst: with a few tokens for each
-keeper, chance alone would often find none."""
+"""Part of the slack that is added to the burst as bucket depth: with only a few tokens at each
+keeper, a request would often find none by chance."""
 HELD_SLACK: Final = 0.3
-"""Part of the slack that entries may hold for requests to come."""
+"""Part of the slack that entries may hold as tokens for future requests."""
 START_SLACK: Final = 0.15
-"""Part of the slack that a keeper begins with: what was granted before its start isn't known. All
-may start twice in one window."""
+"""Part of the slack with which a keeper's bucket starts, as it doesn't know what was granted before
+its start. All keepers may start twice in one window."""
 HELD_SECONDS: Final = 6.0
-"""Time for which an entry may hold a token, by its own clock from when it asked."""
+"""Time for which an entry may hold a token, by its own clock, from its request for it."""
 FORGET_SECONDS: Final = 30.0
-"""Time between two looks for organisations that have all their tokens again."""
+"""Interval at which organisations with full buckets are dropped."""
 
 
 @dataclass(frozen=True)
 class QuotaTerms:
-    """How far the requests that run in a window of time may exceed a quota, over all instances."""
+    """How far the requests in a time window may exceed a quota, over all instances."""
 
     window_seconds: float = 5.0
     overshoot: float = 0.0
-    """As a part of what the quota allows in a window."""
+    """As a fraction of what the quota allows in a window."""
     slack: float = 0.0
-    """Requests beyond that part."""
+    """Requests allowed in addition to that fraction."""
 
     def find_slack(self, quota: RequestQuota) -> float:
-        """Return the requests by which a window may exceed a quota."""
+        """Return how many requests a window may exceed a quota by."""
         allowed = quota.per_second * self.window_seconds + quota.burst
         return self.overshoot * allowed + self.slack
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What an entry is given: for the request at hand, and to hold for the next one."""
+    """The tokens granted to an entry: for the current request, and to hold for the next one."""
 
     now: bool
     ahead: bool
 
 
 class OrganisationShare:
-    """A keeper's tokens of one organisation: they come at a rate, up to a depth."""
+    """A keeper's token bucket for one organisation, with tokens that entries hold in advance."""
 
     def __init__(self, quota: RequestQuota, terms: QuotaTerms, part: float, started: float) -> None:
         self._terms = terms
         self._part = part
         self._level = START_SLACK * terms.find_slack(quota) * part
         self._at = started
-        """When the tokens were counted; at first when the keeper started, as none went since."""
+        """When the bucket was last refilled; at first the keeper's start, as no token was granted
+        since then."""
         self._holders: OrderedDict[str, float] = OrderedDict()
-        """Entries that hold a token, with the end of each, the earliest first."""
+        """Expiry of the token that each entry holds, the earliest first."""
         self.quota = quota
         self.replace_quota(quota)
 
     def replace_quota(self, quota: RequestQuota) -> None:
-        """Take the organisation's quota; tokens beyond the depth of a lower one are gone."""
+        """Apply a new quota; if it is lower, tokens beyond the new depth are dropped."""
         slack = self._terms.find_slack(quota)
         is_lower = quota.per_second < self.quota.per_second or quota.burst < self.quota.burst
         self.quota = quota
@@ -77,12 +78,12 @@
             self._level = min(self._level, self._depth)
 
     def is_full(self, now: float) -> bool:
-        """Tell whether this is as good as a new share: all tokens are here, and none is held."""
+        """Return whether the bucket is full and no entry holds a token, so it may be dropped."""
         self._refill(now)
         return self._level >= self._depth and not any(at > now for at in self._holders.values())
 
     def take(self, now: float) -> bool:
-        """Take one token; tell whether there was one."""
+        """Remove one token; return whether there was one."""
         self._refill(now)
         if self._level < 1.0:
             return False
@@ -90,7 +91,10 @@
         return True
 
     def take_ahead(self, holder: str, now: float) -> bool:
-        """Take one token for an entry to hold, in place of the one that it held."""
+        """Remove one token for an entry to hold, which replaces the one it held before.
+
+        Return False if there is no token, or if the other entries hold as many as are allowed.
+        """
         while self._holders and next(iter(self._holders.values())) <= now:
             self._holders.popitem(last=False)
         held = len(self._holders) - (holder in self._holders)
@@ -101,9 +105,9 @@
         return True
 
     def lend(self, now: float) -> float:
-        """Give up half of the tokens to a keeper that has none, or all where half grants nothing.
+        """Remove tokens for a keeper that has none: half of them, or all if there are under two.
 
-        Parts of tokens go along: left at each of the keepers, they would grant nothing anywhere.
+        Fractions of tokens are included: left at each of the keepers, they would grant nothing.
         """
         self._refill(now)
         lent = self._level if self._level < 2.0 else self._level / 2.0
@@ -111,11 +115,11 @@
         return lent
 
     def add(self, tokens: float) -> None:
-        """Take tokens that another keeper has given up."""
+        """Add tokens that another keeper has transferred; they may exceed the depth."""
         self._level += tokens
 
     def _refill(self, now: float) -> None:
-        """Add what came since the last time; borrowed tokens beyond the depth stay."""
+        """Add the tokens earned since the last refill; transferred ones beyond the depth stay."""
         earned = self._rate * max(0.0, now - self._at)
         self._at = max(self._at, now)
         if self._level < self._depth:
@@ -123,7 +127,7 @@
 
 
 class QuotaShares:
-    """A keeper's shares of all organisations that have requests.
+    """A keeper's token buckets of all organisations with recent requests.
 
     >>> shares = QuotaShares(QuotaTerms(slack=20.0), 5, 0.0)
     >>> quota = RequestQuota(5, 5)
@@ -142,26 +146,26 @@
         return len(self._shares)
 
     def take(self, name: CallerId, quota: RequestQuota, holder: str, now: float) -> Grant:
-        """Grant one request of an organisation, and one to hold where an entry asks for it."""
+        """Grant one request, and a token to hold if `holder` names an entry that asks for one."""
         share = self._find(name, quota, now)
         granted = share.take(now)
         return Grant(granted, granted and bool(holder) and self._take_ahead(share, holder, now))
 
     def take_ahead(self, name: CallerId, quota: RequestQuota, holder: str, now: float) -> Grant:
-        """Grant a request to come."""
+        """Grant a token for a future request."""
         share = self._find(name, quota, now)
         return Grant(False, self._take_ahead(share, holder, now))
 
     def lend(self, name: CallerId, quota: RequestQuota, now: float) -> float:
-        """Give up tokens to another keeper; return how many."""
+        """Remove tokens for another keeper and return how many."""
         return self._find(name, quota, now).lend(now)
 
     def add(self, name: CallerId, quota: RequestQuota, tokens: float, now: float) -> None:
-        """Take tokens that another keeper has given up."""
+        """Add tokens that another keeper has transferred."""
         self._find(name, quota, now).add(tokens)
 
     def _take_ahead(self, share: OrganisationShare, holder: str, now: float) -> bool:
-        """Let an entry hold a token, once those given out before this keeper's start are void."""
+        """Grant a token to hold, once those granted before this keeper's start have expired."""
         return now - self._started > HELD_SECONDS and share.take_ahead(holder, now)
 
     def _find(self, name: CallerId, quota: RequestQuota, now: float) -> OrganisationShare:
@@ -175,7 +179,7 @@
         return share
 
     def _forget(self, now: float) -> None:
-        """Forget organisations without requests, so that memory follows those that have some."""
+        """Drop full buckets, so that memory is used only for organisations with recent requests."""
         if now < self._forget_at:
             return
         self._forget_at = now + FORGET_SECONDS
--- a/packages/decisions/src/persimmonusher_decisions/rate_limits.py
+++ b/packages/decisions/src/persimmonusher_decisions/rate_limits.py
@@ -1,4 +1,4 @@
-"""The share of one instance in the requests a second that a server takes from all instances."""
+"""One instance's share of the request rates that servers accept from all instances together."""
 
 from math import ceil, inf
 from random import Random
@@ -8,28 +8,28 @@
 from persimmonusher_decisions.track import ServerTrack
 
 SHARED_PART: Final = 0.6
-"""Part of a server's limit that is shared out. Instances' turns come at moments of their own, so
-that now and then more of them come at the same time."""
+"""Part of a server's limit that is shared out. Instances choose their turns independently, so now
+and then several turns coincide."""
 TURN_SECONDS: Final = 2.0
-"""Length of a turn. A request that nobody sent in it may not be sent later, or all instances would
-send theirs at the beginning of a burst."""
+"""Length of a turn. An unused turn expires; otherwise all instances would use theirs at the
+beginning of a burst."""
 LEAST_RATE: Final = 0.25
-"""Requests a second of the whole fleet that a server gets whatever its limit: only an answer tells
-that a limit has ended."""
+"""Requests per second, from the whole fleet, that a server gets whatever its limit: only an answer
+shows that a limit has ended."""
 ENTRIES_MEMORY_SECONDS: Final = 30.0
-"""Time for which the largest number of instances counts. While keepers are lost or cut off, the
-entries that follow them send on and aren't counted."""
+"""Time for which the largest number of entries seen is used. While keepers are lost or isolated,
+the entries that follow them keep sending requests but aren't counted."""
 
 
 class RateLimits:
-    """Gives this instance turns for what it sends to servers that name a limit.
+    """Assigns turns to this instance's requests to servers that name a rate limit.
 
-    The load it is for: a server in need that takes one request a second, before dozens or thousands
-    of instances of which each sees a few requests a second. The harm: each would send it one at
-    once, and together they would send it many times its limit. So each has a turn for one request
-    in the time in which all of them together may send as many as they are; the first comes at a
-    random moment of it. A central count would use the limit better, but costs a call for each
-    request, and stops with the keepers.
+    A struggling server may accept one request per second while dozens or thousands of instances see
+    a few requests per second each. If each sent it one at once, together they would exceed its
+    limit many times. So each instance has a turn for one request in each interval in which the
+    limit allows as many requests as there are instances; its first turn comes at a random moment of
+    the interval. A central counter would use the limit better, but costs a call for each request,
+    and stops working with the keepers.
 
     >>> limits = RateLimits(Random(1))
     >>> limits.count_entries(36, 0.0)
@@ -43,20 +43,23 @@
         self._entries_at = -inf
 
     def count_entries(self, live: int, now: float) -> None:
-        """Take the number of live entry instances, this one included."""
+        """Set the number of live entry instances, this one included.
+
+        A lower number is used only after ENTRIES_MEMORY_SECONDS.
+        """
         if live >= self._entries or now - self._entries_at > ENTRIES_MEMORY_SECONDS:
             self._entries = live
             self._entries_at = now
 
     def find_interval(self, rate: float) -> float:
-        """Return the seconds between two turns of this instance, for a limit of the fleet."""
+        """Return the seconds between two turns of this instance, for a fleet-wide rate limit."""
         return self._entries / (SHARED_PART * max(LEAST_RATE, rate))
 
     def take(self, track: ServerTrack, advice: ServerAdvice, sent: float, now: float) -> bool:
-        """Take the limit in an answer to what was sent at a time; tell whether it is another one.
+        """Apply the limit in an answer to a request sent at `sent`; return whether it changes.
 
-        An answer without a limit ends one only if its request was sent after the limit was last
-        named: else the server may have answered before it named the limit.
+        An answer without a limit ends the current one only if its request was sent after the limit
+        was last named: otherwise the server may have answered before it named the limit.
         """
         rate = advice.rate_limit
         if not advice.is_readable or (rate is None and sent <= track.limit_named_at):
@@ -70,20 +73,24 @@
         return True
 
     def spend(self, track: ServerTrack, now: float) -> None:
-        """Count a request that is sent now: this turn is over."""
+        """Use up the current turn for a request that is sent now."""
         if track.rate_limit is not None:
             self.skip_turns(track, now)
             track.set_turn(track.turn_at + self.find_interval(track.rate_limit))
 
     def skip_turns(self, track: ServerTrack, now: float) -> None:
-        """Go on to the next turn where those before are over."""
+        """Advance to the current or next turn if earlier ones have expired."""
         over = now - TURN_SECONDS - track.turn_at
         if track.rate_limit is not None and over > 0.0:
             interval = self.find_interval(track.rate_limit)
             track.set_turn(track.turn_at + ceil(over / interval) * interval)
 
     def _find_turn(self, track: ServerTrack, rate: float | None, now: float) -> float:
-        """Return when the next turn at a server begins whose limit changes."""
+        """Return when the next turn begins at a server whose limit changes to `rate`.
+
+        Where there was no limit, the moment is random; else the same fraction of the interval is
+        left as before.
+        """
         if rate is None:
             return now
         share = self._random.random()
--- a/packages/decisions/src/persimmonusher_decisions/retries.py
+++ b/packages/decisions/src/persimmonusher_decisions/retries.py
@@ -1,23 +1,23 @@
-"""The budget from which retries, hedges and second placements are paid."""
+"""The retry budget, which bounds retries and hedged requests."""
 
 from collections import deque
 from typing import Final
 
 WINDOW_SECONDS: Final = 10.0
-"""Time over which further attempts are held against first ones: some times the length of the
-faults that make single requests fail, and short against an overload that lasts."""
+"""Sliding window over which further attempts are compared with first ones: several times as long as
+the faults that make single requests fail, and short compared with a lasting overload."""
 SLICE_SECONDS: Final = 0.5
-"""First attempts are counted in slices of this length: twenty numbers, whatever the rate."""
+"""First attempts are counted in slices of this length: twenty counters, whatever the rate."""
 SLACK_USED: Final = 0.9
-"""Part of the fleet's slack that is shared out: for a moment after a start or a loss, instances
-count different numbers of each other."""
+"""Part of the fleet's slack that is shared out. For a moment after an instance starts or is lost,
+instances disagree on the number of live ones."""
 LARGEST_SHARE: Final = 10.0
-"""Slack that one instance uses at most: enough for the requests in flight on a server that breaks,
-however few instances share the fleet's."""
+"""Largest slack of one instance, however few instances share the fleet's: enough for the requests
+in flight on a server that breaks."""
 
 
 class FirstAttempts:
-    """The first attempts of one slice of time."""
+    """The count of first attempts in one slice of time."""
 
     __slots__ = ("begin", "count")
 
@@ -27,17 +27,17 @@
 
 
 class RetryBudget:
-    """Bounds further attempts by the first attempts of the last seconds, and a slack.
+    """Bounds further attempts by a percentage of recent first attempts, plus a slack.
 
-    The load it is for: a fault or overload in which most attempts fail. The harm: each failure
-    brings further attempts, which keep the servers overloaded after the cause is gone. In any
-    window, this instance sends at most the profile's percentage of its first attempts and its
-    part of the fleet's slack again, however long the fault lasts.
+    In a fault or overload in which most attempts fail, each failure causes further attempts, which
+    keep the servers overloaded after the cause is gone. So in any window, this instance sends at
+    most the profile's percentage of its first attempts, plus its part of the fleet's slack, as
+    further attempts, however long the fault lasts.
 
-    The slack comes anew with each window. Dozens of instances see a request or two a second of one
-    service each: the percentage of that is less than one attempt in a window, while the fleet as a
-    whole has room for dozens. What a busy instance has earned in the window it may spend at once:
-    failures come in clusters, when a server breaks or begins to refuse.
+    The slack is available in each window. Dozens of instances may see only one or two requests per
+    second of a service each: the percentage of that is less than one attempt in a window, while the
+    fleet as a whole has room for dozens. A busy instance may spend the budget of its window at
+    once: failures come in clusters, when a server breaks or begins to refuse.
     """
 
     def __init__(self, percent: int) -> None:
@@ -47,15 +47,15 @@
         self._further: deque[float] = deque()
 
     def share_slack(self, slack: float, instances: int) -> None:
-        """Take the fleet's slack for each window, and the number of instances that share it.
+        """Set the fleet's slack for each window, and the number of instances that share it.
 
-        An instance always keeps one attempt, or it could never retry: with more instances than
-        slack, few of them meet a fault at the same moment.
+        An instance always gets at least one attempt, or it might never retry. With more instances
+        than slack, few of them meet a fault at the same moment.
         """
         self._slack = min(LARGEST_SHARE, max(1.0, SLACK_USED * slack / instances))
 
     def replace_percent(self, percent: int) -> None:
-        """Take a new percentage; 0 turns retries off, slack and all."""
+        """Set the percentage; 0 turns further attempts off, the slack included."""
         self._share = percent / 100.0
 
     def earn(self, now: float) -> None:
@@ -66,7 +66,7 @@
         self._firsts[-1].count += 1
 
     def spend(self, now: float, share: float = 1.0) -> bool:
-        """Count one further attempt, where this share of the budget has room; tell whether."""
+        """Count a further attempt if this share of the budget has room; return whether it has."""
         self._forget(now)
         firsts = sum(item.count for item in self._firsts)
         allowed = self._slack + self._share * firsts if self._share else 0.0
--- a/packages/decisions/src/persimmonusher_decisions/server.py
+++ b/packages/decisions/src/persimmonusher_decisions/server.py
@@ -1,4 +1,4 @@
-"""A backend server as it announced itself."""
+"""A backend server, as described by its own announcements."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class ServerState(Enum):
-    """What a backend server says of itself."""
+    """The state that a backend server announces."""
 
     STARTING = "starting"
     READY = "ready"
@@ -27,17 +27,17 @@
     server_id: ServerId
     service: ServiceName
     address: str
-    """Where it takes requests, as `ip:port`."""
+    """Address at which it accepts requests, as `ip:port`."""
     failure_domain: FailureDomain
     slots: int
-    """Requests that it works on at the same time."""
+    """Requests that it processes at the same time."""
     connection_limit: int
-    """Connections that it accepts in all, 0 where it states none."""
+    """Connections that it accepts in total; 0 if it announces no limit."""
     boot_id: int
     sequence: int
     state: ServerState
 
     @property
     def freshness(self) -> tuple[int, int]:
-        """Return what orders two announcements of the same server."""
+        """Return the key that orders announcements of the same server, newest last."""
         return (self.boot_id, self.sequence)
--- a/packages/decisions/src/persimmonusher_decisions/splitting.py
+++ b/packages/decisions/src/persimmonusher_decisions/splitting.py
@@ -1,4 +1,4 @@
-"""Which of a route's services takes the next request, by weight."""
+"""Weighted choice of the service for a route's next request."""
 
 from collections.abc import Sequence
 from random import Random
@@ -8,13 +8,13 @@
 
 
 class WeightedChooser:
-    """Takes services in turn, each as often as its weight says.
+    """Smooth weighted round robin over a route's services, from a random start.
 
-    The load it is for: a route split 90 to 10 over dozens of instances that each see a few of its
-    requests a second. The harm: drawn at random, a part's share strays by several percent over the
-    few hundred requests by which an operator judges a release. Smooth weighted round robin is off
-    by less than one request an instance; a random start keeps the instances from sending their
-    first requests all to the heaviest part.
+    A route may be split 90 to 10 over dozens of instances that each see a few of its requests per
+    second. With random choice, a service's share would deviate by several percent over the few
+    hundred requests by which an operator judges a release. Smooth weighted round robin deviates by
+    less than one request for each instance. Because of the random start, not all instances send
+    their first requests to the service with the largest weight.
 
     >>> parts = [WeightedService(ServiceName("a"), 2), WeightedService(ServiceName("b"), 1)]
     >>> chooser = WeightedChooser(parts, Random(1))
--- a/packages/decisions/src/persimmonusher_decisions/strikes.py
+++ b/packages/decisions/src/persimmonusher_decisions/strikes.py
@@ -1,4 +1,4 @@
-"""The fleet's strikes against requests that crash servers, kept by a service's assessor."""
+"""Fleet-wide strikes against requests that crash servers, kept by a service's assessor."""
 
 from collections.abc import Iterable
 
@@ -12,11 +12,11 @@
 
 
 class StrikeBoard:
-    """Counts the servers that broke under each fingerprint, over all entry instances.
+    """Counts the servers that broke while running each fingerprint, over all entry instances.
 
-    The failure it is for: a caller resends a request that crashes servers, and each resend
-    reaches another entry instance, which sees its first break only. Fewer servers than the
-    profile's crash_strikes are lost after the last of these breaks is known here.
+    A caller may resend a request that crashes servers, and each resend may reach another entry
+    instance, which sees only its first break. Here the breaks add up to a quarantine for the whole
+    fleet: after the last of them is known here, fewer servers than `crash_strikes` are lost.
     """
 
     def __init__(self, strikes: int, seconds: float) -> None:
@@ -26,12 +26,12 @@
         self._until: dict[str, float] = {}
 
     def replace_limits(self, strikes: int, seconds: float) -> None:
-        """Take a new profile's limits."""
+        """Apply a new profile's `crash_strikes` and quarantine time."""
         self._strikes = strikes
         self._seconds = seconds
 
     def receive(self, strikes: Iterable[Strike], now: float) -> None:
-        """Add what an instance tells."""
+        """Record an instance's strikes; a success clears its fingerprint."""
         for strike in strikes:
             if strike.kind is StrikeKind.SUCCESS:
                 self._struck.pop(strike.fingerprint, None)
@@ -43,7 +43,7 @@
                 self._until[strike.fingerprint] = now + self._seconds
 
     def list_quarantines(self, now: float) -> tuple[QuarantinedRequest, ...]:
-        """List the quarantined fingerprints, the newest first, within the set's bound."""
+        """List quarantined fingerprints, newest first, at most MAX_QUARANTINES_IN_SET."""
         self._forget_old(now)
         newest = sorted(self._until.items(), key=lambda item: -item[1])[:MAX_QUARANTINES_IN_SET]
         return tuple(
@@ -54,12 +54,12 @@
         )
 
     def list_watched(self) -> tuple[str, ...]:
-        """List fingerprints with strikes that aren't quarantined, the newest first."""
+        """List the newest fingerprints with strikes that aren't quarantined, oldest first."""
         watched = [name for name in self._struck if name not in self._until]
         return tuple(watched[-MAX_QUARANTINES_IN_SET:])
 
     def has_struck(self, server_id: ServerId) -> bool:
-        """Tell whether a quarantined request has broken the server."""
+        """Return whether a quarantined request has broken the server."""
         return any(server_id in self._struck.get(name, {}) for name in self._until)
 
     def _forget_old(self, now: float) -> None:
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -1,4 +1,4 @@
-"""Servers that are passed by for some seconds after a failure, whoever saw it."""
+"""Suspicion: servers are avoided for some seconds after a failure that any instance saw."""
 
 from collections import deque
 from collections.abc import Collection
@@ -16,37 +16,42 @@
     {OutcomeKind.FAILURE, OutcomeKind.TIMEOUT, OutcomeKind.BROKEN, OutcomeKind.UNREACHED}
 )
 SHORTEST_TIMEOUT_SECONDS: Final = 0.5
-"""A timeout of an attempt that had less time says nothing of its server: usual work takes some
+"""A timeout after less time than this doesn't count against the server: usual work takes some
 tenths of a second."""
 EARLY_SHARE: Final = 0.25
-"""A failure within this part of the usual time came before the work was done. One in 25 pieces of
-work takes less time by itself where its length spreads by a factor of two about its middle."""
+"""A failure within this part of the usual latency counts as early, before the work was done. One in
+25 requests is that fast by itself where latency spreads by a factor of two about its median."""
 FEWEST_ANSWERS: Final = 3
-"""Answers from which on the usual time is known; before, every failure counts as early."""
+"""Answers needed to know the usual latency; before that every failure counts as early."""
 USUAL_MEMORY: Final = 0.1
-"""Weight of the newest answer in the usual time: some ten answers make it up."""
+"""Weight of the newest answer in the usual latency: about ten answers make it up."""
 LONGEST_ROW: Final = 3
-"""Suspicions in a row that still lengthen the time: four times the first one at most."""
+"""Suspicions in a row up to which each doubles the duration: at most four times the first one."""
 LONGER: Final = 1.25
 SHORTER: Final = 0.95
-"""Factors on the time for which servers are passed by: when one fails again on its return, and when
-one fails that had been well since. The time settles where a fifth of the returns come too early:
-each of those costs a request, each late one leaves a well server idle."""
+"""Factors on the duration of suspicions. The first applies when a server fails soon after its
+return, the second when one fails that had been healthy since. The duration settles where a fifth of
+the returns come too early: each of those costs a request, each late one leaves a healthy server
+idle."""
 LARGEST_FACTOR: Final = 4.0
-"""Bound of what is learned upwards. Downwards it is the profile's time: while the others have slots
-free, an earlier return wins nothing, and while they are busy lookups bring it about."""
+"""Upper bound of the learned factor on the duration. The lower bound is 1, the profile's time:
+while the other servers have free slots, an earlier return gains nothing, and while they are busy,
+lookups bring it about."""
 SMALL_SERVICE_SHARE: Final = 0.56
-"""Part of a service's servers that may be passed by whatever its floor, in a small service."""
+"""Part of its servers up to which a small service may avoid `fewest_suspects` servers, whatever the
+floor."""
 MAX_NOTICES: Final = 256
-"""Notices that wait to be told; more are dropped, as thousands of failures say no more."""
+"""Notices waiting to be sent; older ones are dropped, as thousands of failures add no
+information."""
 
 
 def find_most_suspects(servers: int, profile: Profile) -> int:
-    """Return how many of a service's servers may be passed by at one time.
+    """Return how many of a service's servers may be avoided at the same time.
 
-    The more servers, the nearer the share of ill ones stays to its mean: of a hundred, half are
-    never ill together by chance, and to pass by as many would leave well ones idle. Of nine, five
-    are at times, and a floor made for a hundred would send work to two of them.
+    The more servers a service has, the closer the share of failing ones stays to its mean. Of a
+    hundred servers, half never fail at the same time by chance, and avoiding that many would leave
+    healthy ones idle. Of nine servers, five sometimes do, and a floor chosen for a hundred would
+    send work to two of them.
     """
     allowed = servers - ceil(servers * profile.health_floor_percent / 100)
     largest = int(servers * SMALL_SERVICE_SHARE)
@@ -54,36 +59,38 @@
 
 
 class Suspicion:
-    """Passes a server by after a single failure, within a floor.
-
-    The load it is for: servers that fail most of their work for a few seconds, one after the other,
-    while dozens of instances see a handful of answers of each in that time. The harm: an instance
-    that waits for its own proof adds a failure of its own before it stops; together they fail
-    dozens of requests in each episode, and those that aren't idempotent can't be sent again. A
-    server that is well fails about one request in a hundred, so that after a failure it is far
-    likelier to be ill; passing by one that is well costs its share of a few seconds, which the
-    others have room for. Where they haven't, because too many are suspected at once, the floor
-    brings back those whose failure is the longest ago: then the fault is rather in the work, or in
-    an overload, than in the servers.
-
-    A failure that comes after the whole time of the work is rather the request's own: an ill server
-    mostly fails at once. Well servers show such failures too, one in a hundred requests; each would
-    pass a well server by, and so many that the floor would bring back ill ones. So it takes two.
-
-    A server that can't be reached from one instance may be reached from all others: where links
-    fail and not servers, all would soon be passed by everywhere, and those that are ill brought
-    back. So the one that can't reach it passes it by, and the others once several have told so.
-
-    A request that is overdue says the same before it fails, to the instance that sent it: the way
-    between the two may swallow what is sent, and each further request there would be lost as well
-    before the first one's time is over. It is not told, since one in forty is slow by itself.
-
-    A server that was passed by and does two lookups well is used again at once, everywhere. While
-    the others are busy, lookups go to those that failed the longest ago: such a request can be sent
-    again when it fails.
-
-    A server that fails again soon after its time is passed by for twice as long: how long an
-    illness lasts isn't known, and each return of a server that is still ill costs a request.
+    """Avoids a server for first attempts after a single failure, within a floor.
+
+    Servers may fail most of their work for a few seconds, one after the other, while dozens of
+    instances each see only a handful of a server's answers in that time. If each instance waited
+    for evidence of its own, each would add a failed request: dozens in each episode, and those that
+    aren't idempotent can't be retried. A healthy server fails about one request in a hundred, so
+    after a failure the server is far more likely to be faulty. Avoiding a healthy one costs its
+    share of work for a few seconds, for which the others have room. If they haven't, because too
+    many are suspected at once, the floor keeps those in use whose failure is the longest ago: then
+    the cause is more likely the work, or an overload, than the servers.
+
+    A late failure, after a time in which the work may have been done, more likely belongs to the
+    request: a faulty server mostly fails at once. Healthy servers show such failures too, in one of
+    a hundred requests. If each counted, so many healthy servers would be avoided that the floor
+    would keep faulty ones in use. So it takes two.
+
+    A server that one instance can't reach may be reachable for all others. If links failed rather
+    than servers, all servers would soon be avoided everywhere, and the floor would keep faulty ones
+    in use. So the instance that can't reach a server avoids it at once, and the others only after
+    several such reports.
+
+    An overdue request makes the server suspected before it fails, but only at the instance that
+    sent it: the network path between the two may drop packets, and further requests there would be
+    lost as well before the first one times out. It isn't reported to others, since one request in
+    forty is slow without a fault.
+
+    A suspected server that answers two lookups successfully is used again at once, everywhere.
+    While the others are busy, lookups go to the servers whose failure is the longest ago, as a
+    lookup can be retried when it fails.
+
+    A server that fails again soon after a suspicion is avoided for twice as long: how long a fault
+    lasts isn't known, and each return of a server that is still faulty costs a request.
     """
 
     def __init__(self, service: ServiceName) -> None:
@@ -91,11 +98,11 @@
         self._notices: deque[Notice] = deque(maxlen=MAX_NOTICES)
         self._usual = 0.0
         self._factor = 1.0
-        """How much longer than the profile says servers are passed by, as learned."""
+        """Learned factor on the profile's `suspect_ms`."""
         self._answers = 0
 
     def take_notices(self) -> tuple[Notice, ...]:
-        """Return the failures seen here that other instances are to be told of at once."""
+        """Return and clear the notices to be sent to other instances at once."""
         if not self._notices:
             return ()
         notices = tuple(self._notices)
@@ -111,7 +118,7 @@
         profile: Profile,
         now: float,
     ) -> None:
-        """Take the end of an attempt here: a failure is acted on, and told."""
+        """Record the end of an attempt: a failure counts against its server and is reported."""
         kind = outcome.kind
         hasty = kind is OutcomeKind.TIMEOUT and outcome.latency < SHORTEST_TIMEOUT_SECONDS
         if kind not in SUSPICIOUS_KINDS or hasty:
@@ -126,19 +133,19 @@
         )
         self._notices.append(notice)
         if notice.kind is NoticeKind.UNREACHED:
-            # From here it can't be reached, whatever the others find.
+            # This instance can't reach the server, whether or not others can.
             self.suspect(track, tracks, profile, now)
         else:
             self.take(notice, track, tracks, profile, now)
 
     def _learn_duration(self, track: ServerTrack, in_a_row: bool) -> None:
-        """Move the time for which servers are passed by towards what illnesses last here."""
+        """Adapt the duration of suspicions to how long faults last in this service."""
         if track.suspicions:
             factor = self._factor * (LONGER if in_a_row else SHORTER)
             self._factor = min(LARGEST_FACTOR, max(1.0, factor))
 
     def record_answer(self, dispatch: Dispatch, track: ServerTrack, now: float) -> None:
-        """Take a good answer: its time, and what it says of a server that is passed by."""
+        """Record a successful answer: its latency, and that a suspected server may be healthy."""
         latency = now - dispatch.started
         if track.is_suspected(now) and track.suspected_at < dispatch.started:
             self._restore(track, dispatch.request.request_id, now)
@@ -164,7 +171,7 @@
         profile: Profile,
         now: float,
     ) -> bool:
-        """Take what was seen here or elsewhere; tell whether it changes how the server is used."""
+        """Apply a notice of this or another instance; return whether the server's use changes."""
         if notice.kind is NoticeKind.RECOVERED:
             proves = track.is_suspected(now) and track.suspected_at < now - notice.seconds
             return proves and self._restore(track, notice.request_id, now)
@@ -175,7 +182,10 @@
     def suspect(
         self, track: ServerTrack, tracks: Collection[ServerTrack], profile: Profile, now: float
     ) -> bool:
-        """Pass a server by from now on, for the profile's time; tell whether that is news."""
+        """Avoid a server for the learned duration from now on; return whether it was in use.
+
+        A profile with a `suspect_ms` of 0 turns suspicion off.
+        """
         if not profile.suspect_ms:
             return False
         is_news = not track.is_passed_by(now)
@@ -199,7 +209,7 @@
 
     @staticmethod
     def _restore(track: ServerTrack, request_id: RequestId, now: float) -> bool:
-        """Take a lookup done well; tell whether it was the last that it took to use the server."""
+        """Record a successful lookup; return whether it ends the suspicion of its server."""
         proved = track.doubts.add(NoticeKind.RECOVERED, request_id, now)
         if proved:
             track.suspect_until = now
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -1,4 +1,4 @@
-"""What one entry instance keeps about one server while it places work on it."""
+"""The state that an entry instance keeps for each backend server of a service."""
 
 from math import inf
 
@@ -9,7 +9,11 @@
 
 
 class ServerTrack:
-    """Mutable state of one server at one instance, read on the hot path without calls."""
+    """Mutable state of one server at one instance; the hot path reads its attributes directly.
+
+    `base`, `inverse` and `bias` are the parts of the placement score that change rarely.
+    `answered`, `failed`, `timed` and `slow` count evidence for the next digest.
+    """
 
     __slots__ = (
         "answered",
@@ -50,7 +54,8 @@
         self.slots = max(1, server.slots)
         self.outstanding = 0
         self.others: float | None = None
-        """Load of all other instances on it as last known, None before the first report."""
+        """Requests of all other instances in progress there, as last reported and decayed toward
+        the mean of all servers; None before the first report."""
         self.penalty = 0.0
         self.base = 0.0
         self.inverse = 1.0 / self.slots
@@ -69,75 +74,76 @@
         self.told_at = now
         self.doubts = Doubts()
         self.suspect_until = now
-        """Passed by until then, as some instance has just seen it fail."""
+        """End of the current suspicion; until then the server is avoided, unless `spared`."""
         self.suspected_at = now
-        """When it was last seen to fail."""
+        """When the server was last suspected, because an instance saw it fail."""
         self.suspicions = 0
-        """Times that it was suspected in a row, each soon after the end of the last one."""
+        """Suspicions in a row, each soon after the end of the one before; the newest included."""
         self.closed_until = -inf
-        """Gets nothing from this instance before that time, whatever the others' load: the later
-        of `turn_at` and `resting_until`."""
+        """The later of `turn_at` and `resting_until`: this instance sends nothing before it,
+        however loaded the other servers are."""
         self.turn_at = -inf
-        """When the next turn of this instance begins, where the server names a limit."""
+        """When this instance's next turn begins, if the server has a rate limit."""
         self.limit_named_at = -inf
-        """When an answer last named a limit."""
+        """When an answer last named a rate limit."""
         self.rate_limit: float | None = None
-        """Requests a second that it takes from all instances, None where it names no limit."""
+        """Requests per second that the server accepts from all instances together; None for no
+        limit."""
         self.resting_until = -inf
-        """Wants nothing from this instance before that time, as it said."""
+        """End of the rest that the server asked this instance for."""
         self.spared = False
-        """Whether it gets first attempts all the same, as too many are suspected."""
+        """Whether it gets first attempts although suspected, as too many servers are suspected."""
 
     @property
     def load(self) -> float:
-        """Return the load for each slot that one more request would bring about."""
+        """Return the load per slot that one more request would result in, penalty included."""
         return (self.outstanding + 1 + self.base) * self.inverse
 
     @property
     def known_load(self) -> float:
-        """Return the requests in progress for each slot that are known of."""
+        """Return the known requests in progress per slot, without the penalty."""
         return (self.outstanding + (self.others or 0.0)) / self.slots
 
     def set_turn(self, at: float) -> None:
-        """Give this instance its next turn at a moment."""
+        """Set when this instance's next turn begins."""
         self.turn_at = at
         self.closed_until = max(at, self.resting_until)
 
     def rest_until(self, until: float) -> None:
-        """Send it nothing before a moment; a shorter rest doesn't end a longer one."""
+        """Send nothing to the server before `until`; a shorter rest doesn't end a longer one."""
         self.resting_until = max(self.resting_until, until)
         self.closed_until = max(self.turn_at, self.resting_until)
 
     def find_asked(self, now: float) -> Asked:
-        """Return what it has asked for, the strictest of it."""
+        """Return the strictest restriction that the server has asked for and that still holds."""
         if self.resting_until > now:
             return Asked.REST
         return Asked.NOTHING if self.rate_limit is None else Asked.LIMIT
 
     def may_take(self, now: float) -> bool:
-        """Tell whether this instance may send it another request now."""
+        """Return whether this instance may send another request to the server now."""
         return self.closed_until <= now and self.outstanding < self.connection_limit
 
     def is_suspected(self, now: float) -> bool:
-        """Tell whether an instance has just seen it fail."""
+        """Return whether the server is suspected, because an instance recently saw it fail."""
         return self.suspect_until > now
 
     def is_passed_by(self, now: float) -> bool:
-        """Tell whether first attempts go elsewhere for that."""
+        """Return whether first attempts avoid the server: suspected, and not spared."""
         return self.suspect_until > now and not self.spared
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the server itself says that it takes work, in its latest word."""
+        """Return whether the server accepts work, by its announcements and its latest answers."""
         return self.server.state is ServerState.READY and not self.draining
 
     @property
     def is_abnormal(self) -> bool:
-        """Tell whether evidence that wasn't sent yet speaks against the server."""
+        """Return whether there is unsent evidence against the server."""
         return self.failed > 0 or self.slow > 0
 
     def take_evidence(self, now: float) -> ServerEvidence:
-        """Return the evidence that wasn't sent yet and start anew."""
+        """Return the unsent evidence and reset its counts."""
         line = ServerEvidence(self.server_id, self.answered, self.failed, self.timed, self.slow)
         self.answered = self.failed = self.timed = self.slow = 0
         self.told_at = now
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -1,8 +1,8 @@
 """All decisions of one entry instance for one service, behind one interface.
 
-The data plane calls in with events and the time and carries out the decisions it gets back; there
-is no I/O here and no clock. A dispatched attempt must be finished exactly once; finishing it a
-second time counts for nothing. `advance` and `digest` are called about every 50 ms.
+The data plane calls it with events and the current time, and carries out the decisions that it
+returns; there is no I/O and no clock here. Each dispatched attempt must be finished exactly once; a
+second `finish` is ignored. `advance` and `digest` are called about every 50 ms.
 """
 
 from collections.abc import Iterable, Mapping
@@ -49,21 +49,21 @@
 NO_INSTANCE: Final = InstanceId("")
 NO_SERVER_RETRY_AFTER: Final = 1.0
 PROBES_A_SECOND: Final = 16.0
-"""Probes of one server on probation, all instances together."""
+"""Probes per second of one server on probation, from all instances together."""
 
 
 @dataclass(frozen=True)
 class ServerStatus:
-    """A backend server with what this instance does about it, and why."""
+    """A backend server, whether this instance uses it, and the reason if it is restricted."""
 
     server: BackendServer
     taking_work: bool
     reason: str
     outstanding: int
     rate_limit: float | None = None
-    """Requests a second that it takes from all instances, None where it names no limit."""
+    """Requests per second that it accepts from all instances together; None for no limit."""
     rest_seconds: float = 0.0
-    """Time for which it still wants nothing from this instance."""
+    """Time left of the rest that it asked this instance for."""
 
 
 class ServiceTraffic:
@@ -118,7 +118,7 @@
         self._set_limits()
 
     def replace_profile(self, profile: Profile) -> None:
-        """Take a new profile; requests in flight keep the deadline they have."""
+        """Apply a new profile; requests in flight keep their deadlines."""
         self._profile = profile
         self._locality.replace_profile(profile)
         self._admission.replace_profile(profile)
@@ -127,10 +127,10 @@
         self._set_limits()
 
     def replace_servers(self, servers: Iterable[BackendServer], now: float) -> None:
-        """Take the announced servers; evidence on those that stay is kept.
+        """Replace the announced servers; evidence on those that stay is kept.
 
-        A server that is new, or has started again, begins its ramp, but for the first call: then
-        all are new to this instance and none is known to be cold.
+        A server that is new or was restarted begins its ramp, except on the first call with
+        servers: all are new to this instance then, and none is known to be cold.
         """
         tracks: dict[ServerId, ServerTrack] = {}
         for server in servers:
@@ -146,9 +146,11 @@
         self._rebuild(now)
 
     def replace_entry_count(self, live: int) -> None:
-        """Take the number of live entry instances, which share each server's connections.
+        """Set the number of live entry instances, which share each server's connections.
 
-        It takes effect with the next `replace_servers` or `advance`.
+        Connections and the retry slack are shared out anew at once, rate limits with the next
+        `advance`; the concurrency window and the probe interval follow when servers or ejections
+        are next replaced.
         """
         if live != self._live:
             self._live = max(1, live)
@@ -162,7 +164,7 @@
         return track.connection_limit if track else 0
 
     def offer(self, request: Request, now: float) -> Decision:
-        """Decide on a new request."""
+        """Decide whether a new request is sent to a server, waits, or is refused."""
         seconds_left = self._quarantine.find_seconds_left(request.fingerprint, now)
         if seconds_left:
             return Refusal(request, RefusalReason.QUARANTINED, seconds_left)
@@ -183,15 +185,21 @@
         return self._admission.wait(request, usual, now) or Wait(request)
 
     def retry(self, dispatch: Dispatch, outcome: Outcome, now: float) -> Decision:
-        """Decide on another attempt after `finish`; the caller has checked that it is safe."""
+        """Decide on another attempt after `finish`.
+
+        The calling code has checked that the request may safely be run again.
+        """
         return self._further.retry(self._profile, dispatch, outcome, now)
 
     def take_notices(self) -> tuple[Notice, ...]:
-        """Return the failures that other instances are to be told of at once."""
+        """Return and clear the notices to be sent to other instances at once."""
         return (*self._suspicion.take_notices(), *self._advice.take_notices())
 
     def apply_notice(self, notice: Notice, now: float) -> bool:
-        """Take what another instance saw; tell whether it changes how the server is used."""
+        """Apply another instance's notice; return whether it changes how the server is used.
+
+        A notice on an unknown server, or on another boot of a known one, is ignored.
+        """
         track = self._tracks.get(notice.server_id)
         if track is None or track.server.boot_id != notice.boot_id:
             return False
@@ -203,22 +211,22 @@
         return self._suspicion.take(notice, track, self._tracks.values(), self._profile, now)
 
     def find_seconds_passed_by(self, server_id: ServerId, now: float) -> float:
-        """Return for how long a server gets no first attempts from here after failures, or 0."""
+        """Return the seconds for which first attempts still avoid a suspected server, or 0."""
         track = self._tracks.get(server_id)
         if track is None or not track.is_passed_by(now):
             return 0.0
         return track.suspect_until - now
 
     def list_in_progress(self) -> dict[ServerId, int]:
-        """Return this instance's requests in progress by server, those without any left out."""
+        """Return this instance's requests in progress by server; idle servers are left out."""
         return {t.server_id: t.outstanding for t in self._tracks.values() if t.outstanding}
 
     def apply_loads(self, loads: Mapping[ServerId, int]) -> None:
-        """Take what the instances of this failure domain together have in progress.
+        """Apply the requests in progress by server, summed over this failure domain's instances.
 
-        The load it is for: a burst in one domain, whose instances all prefer the near servers. The
-        harm: each sees its own few requests only, and they fill the near servers' queues while far
-        ones idle. With the domain's sum, near servers look as busy as they are.
+        In a burst in one domain all its instances prefer the near servers. If each counted only its
+        own few requests, together they would fill the near servers' queues while far servers are
+        idle. With the domain's sum, near servers look as busy as they are.
         """
         for track in self._tracks.values():
             total = loads.get(track.server_id, 0)
@@ -226,7 +234,7 @@
                 self._placement.learn_load(track, total)
 
     def take_advice(self, dispatch: Dispatch, advice: ServerAdvice, now: float) -> bool:
-        """Take what a server's answer asks for; tell whether it is news that the server leaves."""
+        """Apply what a server's answer asks for; return whether it newly says that it leaves."""
         server = dispatch.server
         track = self._tracks.get(server.server_id)
         if track is None or track.server.boot_id != server.boot_id:
@@ -238,12 +246,15 @@
         return is_leaving
 
     def may_send(self, dispatch: Dispatch, now: float) -> bool:
-        """Tell whether the server still wants what was placed on it; ask before the first byte."""
+        """Return whether an attempt may still be sent; call it before the first byte is sent.
+
+        False if the server has asked for rest, or said that it leaves, since it was chosen.
+        """
         track = self._tracks.get(dispatch.server.server_id)
         return track is None or not (track.draining or track.resting_until > now)
 
     def finish(self, dispatch: Dispatch, outcome: Outcome, now: float) -> tuple[Decision, ...]:
-        """Record the end of an attempt and return the waiting requests it releases."""
+        """Record the end of an attempt; return decisions on the waiting requests it releases."""
         attempt = self._evidence.end(dispatch)
         if attempt is None:
             return ()
@@ -261,11 +272,14 @@
         return self._release(now) if len(self._admission.queue) else ()
 
     def withdraw(self, request: Request) -> None:
-        """Forget a waiting request whose caller left."""
+        """Remove a waiting request whose caller disconnected."""
         self._admission.queue.remove(request)
 
     def advance(self, now: float) -> tuple[Decision, ...]:
-        """Let time pass: refuse waiting requests that are late, release those that may go."""
+        """Handle the passing of time: refuse late waiting requests, release those that may go.
+
+        Also marks overdue attempts and lets an expired ejection lease lapse.
+        """
         self._limits.count_entries(self._live, now)
         self._evidence.mark_overdue(now)
         for attempt in self._evidence.take_overdue(now):
@@ -283,24 +297,24 @@
         return (*refusals, *self._release(now))
 
     def hedge_delay(self, request: Request, now: float) -> float | None:
-        """Return the seconds after which `hedge` may be asked, None where it need not be."""
+        """Return the seconds after which to call `hedge`, or None for no hedged request."""
         limit = self._evidence.find_slow_limit(request.request_class)
         return find_hedge_delay(self._profile, request, limit, now)
 
     def hedge(self, dispatch: Dispatch, now: float) -> Dispatch | None:
-        """Decide on a second copy of an idempotent request in flight; None is no."""
+        """Return a hedged request, a second copy of an idempotent one in flight, or None."""
         return self._further.hedge(self._profile, dispatch, now)
 
     def digest(self, now: float) -> EvidenceDigest | None:
-        """Return evidence for the assessor, None where there is none or it isn't due.
+        """Return evidence for the assessor, or None if there is none or none is due.
 
-        Call it about every 0.05 s: it answers once a second, and at once when something failed.
-        Send each digest once only: one that is lost may stay lost.
+        Call it about every 0.05 s: it returns a digest once a second, and soon after a failure.
+        Send each digest only once: one that is lost may stay lost.
         """
         return self._digests.make(self._tracks.values(), self._quarantine, now)
 
     def apply_ejections(self, ejections: EjectionSet, asked: float) -> None:
-        """Take an assessor's set; `asked` is when this instance sent what the set answers."""
+        """Apply an assessor's set; `asked` is when this instance sent the request it answers."""
         if self._lease.apply(ejections, asked):
             self._quarantine.apply(ejections.quarantines, ejections.watched, asked)
             self._rebuild(asked)
@@ -334,9 +348,10 @@
         return tuple(released)
 
     def _may_place(self, now: float) -> bool:
-        """Tell whether the next waiting request should leave the queue.
+        """Return whether the next waiting request should leave the queue.
 
-        It stays while every connection is taken, and leaves, to be refused, if no server is left.
+        It stays while no open server can accept a request, and leaves, to be refused, if no server
+        is open at all.
         """
         return self._placement.has_room(now) or not self._placement.open_slots
 
@@ -348,17 +363,17 @@
         return self._refuse_closed(request, usual, now)
 
     def _refuse_closed(self, request: Request, usual: float, now: float) -> Refusal | None:
-        """Refuse a request for which the first server to take one again opens too late."""
+        """Refuse a request if all servers stay closed to this instance until it is too late."""
         closed = self._placement.find_seconds_closed(now)
         if not closed or closed <= self._admission.find_wait_left(request, usual, now):
             return None
         return self._admission.refuse_closed(request, closed)
 
     def _drop_draining(self, dispatch: Dispatch, now: float) -> None:
-        """Stop work for a server whose answer says that it is leaving.
+        """Stop sending work to a server whose answer says that it is leaving.
 
-        The directory may learn of it seconds later, and may still list it meanwhile: an older
-        announcement of the same boot doesn't bring it back.
+        The directory may list it for some seconds more; an older announcement of the same boot
+        doesn't bring it back.
         """
         track = self._tracks.get(dispatch.server.server_id)
         if track is not None and track.server.boot_id == dispatch.server.boot_id:
--- a/packages/decisions/src/persimmonusher_decisions/window.py
+++ b/packages/decisions/src/persimmonusher_decisions/window.py
@@ -1,41 +1,41 @@
-"""How many requests one entry instance keeps in progress at a service's servers."""
+"""An adaptive limit on the requests that an entry instance has in progress for a service."""
 
 from typing import Final
 
 from persimmonusher_model.identifiers import ServerId
 
 LOW_PRESSURE: Final = 1.5
-"""Reported load for each slot up to which servers' queues are short."""
+"""Reported load per slot below which the servers' queues are short."""
 HIGH_PRESSURE: Final = 2.5
-"""Reported load for each slot from which on work only waits at the servers."""
+"""Reported load per slot above which additional requests only wait at the servers."""
 LARGEST_REPORT: Final = 4.0
 PRESSURE_MEMORY: Final = 0.1
-"""Weight of the newest report: some ten servers' answers make up the pressure, so that one that
-lies can't move it far."""
+"""Weight of the newest report in the moving average of reported loads. About ten answers make it
+up, so that one server's wrong reports can't move it far."""
 SHRINK_SECONDS: Final = 0.05
-"""At most one reduction in this time, about one round of answers under overload."""
+"""Shortest time between two reductions of the limit: about one round of answers under overload."""
 SHRINK_ON_PRESSURE: Final = 0.9
 SHRINK_ON_REFUSAL: Final = 0.8
 ALONE_SECONDS: Final = 1.0
-"""Refusals of one server alone say that it is ill, or unlucky. Only when another one refused within
-this time is the service full."""
+"""Refusals by a single server mean that this server is failing, or bad luck. The service counts as
+full only if another server refused within this time."""
 FULL: Final = 1.0
-"""Known load for each slot from which on a server's refusal may be for being full. What is known is
-this failure domain's share of its load, and a server that is full has several times its slots
-waiting."""
+"""Known load per slot below which a refusal can't mean that the server is full. Only this failure
+domain's part of the load may be known, and a full server has several times its slots waiting."""
 LARGEST_SHARE: Final = 2.0
-"""Upper limit in times the service's slots: what a single instance could ever need."""
+"""Upper bound of the limit, in multiples of the service's slots: the most that a single instance
+can need."""
 
 
 class ConcurrencyWindow:
     """An additive-increase, multiplicative-decrease limit on requests in progress.
 
-    The load it is for: demand above capacity. The harm: work that waits at a server can't be
-    ordered, refused or given its deadline's due any more, and answers that come too late are work
-    lost. So the limit is kept where servers report their slots filled with a short queue, and the
-    rest waits, or is refused, at the entry instance. It adapts instead of being an equal part of
-    the slots, since skewed demand gives one instance many times the work of another. The lower
-    limit is that equal part: a server that wrongly reports a full queue can't starve an instance.
+    When demand exceeds capacity, requests that wait at a server can't be prioritised, refused or
+    expired by their deadlines, and answers that come too late are wasted work. So the limit is
+    kept where servers report filled slots and a short queue, and the remaining requests wait, or
+    are refused, at the entry instance. The limit adapts instead of being an equal part of the
+    slots, since skewed demand gives one instance many times the work of another. The equal part
+    is its lower bound: a server that wrongly reports a full queue can't starve an instance.
     """
 
     def __init__(self) -> None:
@@ -50,11 +50,15 @@
 
     @property
     def limit(self) -> float:
-        """Return the number of requests that may be in progress."""
+        """Return how many requests may be in progress; may be a fraction."""
         return self._limit
 
     def resize(self, slots: int, live: int, fewest: int = 1) -> None:
-        """Take the service's open slots, the live instances, and what each may always have."""
+        """Set the bounds of the limit.
+
+        `slots` are those of the service's open servers, `live` is the number of entry instances,
+        and `fewest` the number of requests that each may always have in progress, up to `slots`.
+        """
         equal_part = slots / max(1, live)
         self._smallest = max(1.0, equal_part, min(fewest, slots))
         self._largest = max(2.0, LARGEST_SHARE * slots)
@@ -64,7 +68,7 @@
         self._limit = min(self._largest, max(self._smallest, self._limit))
 
     def record_answer(self, load_for_each_slot: float | None, in_progress: int, now: float) -> None:
-        """Take an answer with the load its server reported, if it did."""
+        """Adapt the limit to an answer; the load is None if the server reported none."""
         if load_for_each_slot is not None:
             report = min(LARGEST_REPORT, load_for_each_slot)
             last = report if self._pressure is None else self._pressure
@@ -77,12 +81,11 @@
             self._limit = min(self._largest, self._limit + step)
 
     def record_refusal(self, server_id: ServerId, known_load: float, now: float) -> None:
-        """Take a server's own refusal, and its load for each slot as far as it is known here.
+        """Adapt the limit to a server's refusal, given its load per slot as known here.
 
-        The load it is for: servers that refuse half their work for seconds, one of them or all,
-        while their slots are free. The harm: each refusal would shrink the limit, and for seconds
-        after they are well requests would wait here for no reason: up to 0.95 s, on instances
-        whose callers come in clumps.
+        One or all servers may refuse half their work for seconds while their slots are free. If
+        each such refusal shrank the limit, requests would wait here for no reason for seconds after
+        the servers have recovered: up to 0.95 s, on instances whose callers arrive in bursts.
         """
         if known_load < FULL:
             return
--- a/packages/decisions/src/persimmonusher_decisions/work.py
+++ b/packages/decisions/src/persimmonusher_decisions/work.py
@@ -1,4 +1,4 @@
-"""Typed messages of the data plane: a request, where it goes, and how that ended."""
+"""Typed messages of the data plane: requests, decisions on them, and outcomes of attempts."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A caller's request, as far as decisions need it. Times are monotonic seconds."""
+    """The parts of a caller's request that decisions need. Times are monotonic seconds."""
 
     request_id: RequestId
     caller: CallerId
@@ -20,9 +20,9 @@
     arrived: float
     deadline: float
     fingerprint: str
-    """Equal for requests that are the same work: method, path, key and body hash."""
+    """Equal for requests with the same method, path, key and body hash: the same work."""
     max_attempts: int | None = None
-    """Servers that it may be sent to in all, where its route says so; else the profile does."""
+    """Total servers that it may be sent to, if its route limits them; else the profile applies."""
     priority: int = 0
     """Rank within its service; 0 is the most urgent."""
 
@@ -32,20 +32,20 @@
 
     SUCCESS = "success"
     FAILURE = "failure"
-    """An answer of class 5xx: the server failed real work."""
+    """An answer of class 5xx: the server failed to process the request."""
     TIMEOUT = "timeout"
     WITHHELD = "withheld"
-    """Not sent: the server asked for rest, or said that it leaves, after it was chosen."""
+    """Not sent: after it was chosen, the server asked for rest or said that it leaves."""
     UNREACHED = "unreached"
-    """No byte of the request left: no connection, or one that broke before."""
+    """No byte of the request was sent: no connection, or one that broke before that."""
     REFUSED = "refused"
     """The server says, or the transport proves, that the request was not run."""
     DRAINING = "draining"
     """Refused because the server is leaving."""
     BROKEN = "broken"
-    """The connection broke after a byte may have left: the outcome is unknown."""
+    """The connection broke after a byte may have been sent: the outcome is unknown."""
     CANCELLED = "cancelled"
-    """The caller left, or another copy won; says nothing of the server."""
+    """The caller disconnected, or another copy won; no evidence for or against the server."""
 
 
 @dataclass(frozen=True)
@@ -55,9 +55,9 @@
     kind: OutcomeKind
     latency: float
     reported_load: int | None = None
-    """Requests in progress and queued at the server, all callers; a hint that may mislead."""
+    """Requests in progress and queued at the server, from all callers; may be stale or wrong."""
     answer_bytes: int | None = None
-    """Size of the answer's body, None where it wasn't read to its end."""
+    """Size of the answer's body; None if the body wasn't read to its end."""
 
 
 @dataclass(frozen=True)
@@ -69,20 +69,25 @@
     attempt: int
     started: float
     unreached: int = 0
-    """Earlier attempts of which no byte left; they cost neither the budget nor the servers."""
+    """Earlier attempts of which no byte was sent; they use neither the retry budget nor the
+    allowed attempts."""
     asked: Asked = Asked.NOTHING
-    """What the server has asked for by then."""
+    """What the server had asked for when it was chosen."""
 
 
 @dataclass(frozen=True)
 class Wait:
-    """Hold the request in the queue; `finish` or `advance` releases it later."""
+    """Hold the request until `finish` or `advance` returns another decision on it."""
 
     request: Request
 
 
 class RefusalReason(Enum):
-    """Why a request is given up on. In every case but one it was certainly not run."""
+    """Why a request is refused.
+
+    It was certainly not run, except with RETRIES_EXHAUSTED and RETRY_BUDGET, where it may have been
+    run and have failed.
+    """
 
     QUEUE_FULL = "queue-full"
     QUEUE_TIMEOUT = "queue-timeout"
@@ -90,22 +95,23 @@
     """The time left is too short for the service to answer."""
     NO_SERVER = "no-server"
     SERVERS_CLOSED = "servers-closed"
-    """Every server that could be used is closed to this instance for longer than can be waited."""
+    """Every open server is closed to this instance, by limits or rests, for longer than the request
+    can wait."""
     QUARANTINED = "quarantined"
     OVERLOAD = "overload"
     RETRIES_EXHAUSTED = "retries-exhausted"
-    """An idempotent request ran, and failed, on each server tried: not marked as not run."""
+    """An idempotent request failed on each server tried: not marked as not run."""
     RETRY_BUDGET = "retry-budget"
-    """The same, where another server could have been tried but for the budget."""
+    """The same, but another server would have been tried if the retry budget had allowed it."""
 
 
 AFTER_ATTEMPTS: Final = frozenset({RefusalReason.RETRIES_EXHAUSTED, RefusalReason.RETRY_BUDGET})
-"""Reasons given only after an attempt."""
+"""Reasons that are given only after at least one attempt."""
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """Answer the request at once; the caller may come back after `retry_after` seconds."""
+    """Refuse the request at once; the caller may try again after `retry_after` seconds."""
 
     request: Request
     reason: RefusalReason
--- a/packages/model/src/persimmonusher_model/__init__.py
+++ b/packages/model/src/persimmonusher_model/__init__.py
@@ -1,1 +1,1 @@
-"""Words that every package shares: profiles, identifiers, the clock and coded errors."""
+"""Types that all packages share: profiles, routing, identifiers, the clock and coded errors."""
--- a/packages/model/src/persimmonusher_model/clock.py
+++ b/packages/model/src/persimmonusher_model/clock.py
@@ -1,9 +1,9 @@
-"""The clock, passed in so that tests choose the time.
+"""The clock interface; clocks are passed in, so that tests choose the time.
 
-The system's own clock is an adapter of the node. Durations and monotonic readings are float
-seconds, as in `time.monotonic`; wall-clock readings are aware `datetime` values and are only ever
-shown to people, never compared for a decision, so that a wall clock that jumps can change no
-outcome.
+The adapter for the system's clock is in the node package. Durations and monotonic readings are
+float seconds, as in `time.monotonic`. Wall-clock readings are aware `datetime` values. They are
+only shown to people and never compared for a decision, so that a wall clock that jumps doesn't
+change any outcome.
 """
 
 from abc import ABC, abstractmethod
@@ -15,15 +15,15 @@
 
     @abstractmethod
     def monotonic(self) -> float:
-        """Return seconds since an arbitrary origin; never goes back."""
+        """Return the seconds since an arbitrary origin; they never decrease."""
 
     @abstractmethod
     def wall(self) -> datetime:
-        """Return the current time of day in UTC, for people to read."""
+        """Return the current date and time in UTC, only for display."""
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told, for tests and simulations.
+    """A clock that moves only by calls of `advance`, for tests and simulations.
 
     >>> clock = ManualClock()
     >>> clock.advance(1.5)
@@ -36,7 +36,7 @@
         self._epoch = datetime(2026, 1, 1, tzinfo=UTC)
 
     def monotonic(self) -> float:
-        """Return the seconds that this clock was advanced by."""
+        """Return the start plus the seconds that the clock was advanced by."""
         return self._now
 
     def wall(self) -> datetime:
@@ -44,7 +44,7 @@
         return self._epoch + timedelta(seconds=self._now)
 
     def advance(self, seconds: float) -> None:
-        """Move forward; a negative step is refused."""
+        """Move the clock forward; raise ValueError for a negative step."""
         if seconds < 0:
             raise ValueError(f"a monotonic clock can't go back by {-seconds} s")
         self._now += seconds
--- a/packages/model/src/persimmonusher_model/errors.py
+++ b/packages/model/src/persimmonusher_model/errors.py
@@ -1,4 +1,4 @@
-"""Coded errors and findings that carry the place they were found at."""
+"""Errors with stable codes, and findings that name their place in an input."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class ErrorCode(Enum):
-    """Stable codes for programs; docs/reference/errors.md lists them for people."""
+    """Stable machine-readable codes; docs/reference/errors.md describes them."""
 
     BAD_JSON = "bad-json"
     UNREADABLE_FILE = "unreadable-file"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """One thing wrong with an input, with the path in the document and the line if known."""
+    """One problem with an input, with its path in the document, and file and line if known."""
 
     code: ErrorCode
     path: str
--- a/packages/model/src/persimmonusher_model/identifiers.py
+++ b/packages/model/src/persimmonusher_model/identifiers.py
@@ -1,18 +1,18 @@
-"""Identifiers, as distinct types so that one kind can't stand in for another."""
+"""Identifiers, as distinct types, so that type checks find one kind used as another."""
 
 from typing import NewType
 
 InstanceId = NewType("InstanceId", str)
-"""One process of the system, unique over restarts only together with its incarnation."""
+"""One process of the system. Restarts keep it; with the incarnation it names a single run."""
 
 ServerId = NewType("ServerId", str)
-"""One backend server, as it names itself in its announcements."""
+"""One backend server, by the name in its announcements."""
 
 ServiceName = NewType("ServiceName", str)
 ProfileName = NewType("ProfileName", str)
 FailureDomain = NewType("FailureDomain", str)
 CallerId = NewType("CallerId", str)
-"""The caller's organisation, from its request header; the tenant of metrics and fairness."""
+"""The caller's organisation; metrics and queue fairness distinguish callers by it."""
 
 RequestId = NewType("RequestId", str)
 Revision = NewType("Revision", int)
--- a/packages/model/src/persimmonusher_model/organisations.py
+++ b/packages/model/src/persimmonusher_model/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations: whose requests come with which API keys, how many, and how urgent they are."""
+"""Organisations: their API keys, request quotas and priorities."""
 
 import re
 import secrets
@@ -11,27 +11,27 @@
 from persimmonusher_model.identifiers import CallerId
 
 KeyDigest = NewType("KeyDigest", bytes)
-"""Stands for an API key inside one process; another process makes another digest of it."""
+"""A salted digest of an API key; the salt differs between processes."""
 
 DIGEST_BYTES: Final = 16
 HEADER_TEXT: Final = re.compile(r"[!-~]+( +[!-~]+)*")
-"""What a header can carry as it is; a line break in it would begin another header."""
+"""Text that is safe in a header value; a line break in it would begin another header."""
 _SALT: Final = secrets.token_bytes(DIGEST_BYTES)
 
 
 def digest_key(key: str) -> KeyDigest:
-    """Return what stands for an API key, which is a secret and kept nowhere as it is."""
+    """Return the digest of an API key. The key is a secret, so only its digest is kept."""
     data = key.encode(errors="surrogatepass")
     return KeyDigest(blake2b(data, digest_size=DIGEST_BYTES, key=_SALT).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class RequestQuota:
-    """How many requests of an organisation may run, over all instances together."""
+    """An organisation's request rate limit over all instances together."""
 
     per_second: int
     burst: int
-    """Requests beyond the rate that may come at once."""
+    """Requests allowed at once in addition to the rate."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,9 +41,9 @@
     name: CallerId
     keys: tuple[KeyDigest, ...]
     priority: int | None = None
-    """0 is the most urgent; goes before the route's. None leaves it to the route."""
+    """0 is the most urgent; overrides the route's priority unless it is None."""
     quota: RequestQuota | None = None
-    """None is no limit."""
+    """None means no limit."""
 
 
 class OrganisationBook:
@@ -69,7 +69,7 @@
 
 
 def check_organisations(organisations: Sequence[Organisation]) -> Iterator[Finding]:
-    """Yield what keeps the organisations from being in force; keys are told by their place."""
+    """Yield a finding for each problem; keys are named by their position, never by content."""
     names: set[CallerId] = set()
     holders: dict[KeyDigest, CallerId] = {}
     for number, one in enumerate(organisations):
--- a/packages/model/src/persimmonusher_model/profile.py
+++ b/packages/model/src/persimmonusher_model/profile.py
@@ -204,7 +204,7 @@
         return self
 
     def is_idempotent(self, method: str, path: str) -> bool:
-        """Tell whether a request may be sent again."""
+        """Return whether a request with this method and path may be sent again."""
         if path.startswith(self.non_idempotent_paths):
             return False
         return method in self.idempotent_methods or path.startswith(self.idempotent_paths)
@@ -213,16 +213,16 @@
 DETECTION_FIRST: Final = Profile(
     detection_sensitivity=0.9, health_floor_percent=50, queue_wait_ms=500
 )
-"""Weighs detection time: near closing day, a minute on a failing server is a missed entry."""
+"""Favours fast detection: near closing day, a minute on a failing server is a missed entry."""
 
 EJECTION_AVERSE: Final = Profile(detection_sensitivity=0.1, health_floor_percent=75)
-"""Weighs false ejections: in a small fleet every worker removed in error slows the counter."""
+"""Avoids false ejections: in a small fleet every worker removed in error slows the counter."""
 
 PRESETS: Final = {"detection-first": DETECTION_FIRST, "ejection-averse": EJECTION_AVERSE}
 
 
 def parse_profile(document: dict[str, Any]) -> Profile:
-    """Check a profile's document as a whole; raise UsherError with every finding.
+    """Return the profile in a document; raise UsherError with all findings if it is invalid.
 
     A document may name a preset to start from: `{"preset": "ejection-averse", "ramp_ms": 5000}`.
     """
@@ -249,7 +249,7 @@
 
 
 def collect_findings(error: ValidationError, known: tuple[str, ...]) -> list[Finding]:
-    """Turn a validation error into findings, with the nearest known name for an unknown key."""
+    """Convert a validation error to findings; for an unknown key, suggest the nearest known."""
     findings = []
     for detail in error.errors():
         path = ".".join(str(part) for part in detail["loc"])
--- a/packages/model/src/persimmonusher_model/rendezvous.py
+++ b/packages/model/src/persimmonusher_model/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous (highest random weight) hashing: who serves a key, agreed without messages.
+"""Rendezvous (highest random weight) hashing: members agree who serves a key without messages.
 
-When a member leaves, only the keys it served move. `choose_spread` also spreads the choice over
-failure domains, so that losing one domain costs as few of a key's members as possible.
+When a member leaves, only the keys that it served move. `choose_spread` also spreads the chosen
+members over failure domains, so that losing one domain costs as few of a key's members as possible.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,19 +15,19 @@
 
 
 def rank(members: Iterable[str], key: str) -> list[str]:
-    """Order members by falling weight for the key; ties end in name order."""
+    """Return the members by decreasing weight for the key; ties are in order of name."""
     return sorted(members, key=lambda member: (-weigh(member, key), member))
 
 
 def choose_spread(domains: Mapping[str, str], key: str, count: int) -> list[str]:
     """Choose up to `count` members for a key, over as many failure domains as there are.
 
-    `domains` maps each member to its failure domain. Members are taken in rank order, one from
-    each domain in turn, until `count` are found.
+    `domains` maps each member to its failure domain. Members are chosen in rank order, one from
+    each domain in each round, until there are `count`.
     """
     best: dict[str, tuple[int, str]] = {}
     for member, domain in domains.items():
-        # Sorted by falling weight, then by name, as in `rank`.
+        # Sorts by decreasing weight, then by name, as in `rank`.
         place = (-weigh(member, key), member)
         if domain not in best or place < best[domain]:
             best[domain] = place
--- a/packages/model/src/persimmonusher_model/routing.py
+++ b/packages/model/src/persimmonusher_model/routing.py
@@ -1,8 +1,8 @@
 """The routing document: routes, services, organisations and limits, replaced as a whole.
 
-An operator's system may keep its routes outside and hand over all of them under a version of its
-own. The highest version is in force; what a document says of a request (idempotent, timeout,
-attempts) goes before the service's profile, which says how the service's servers are treated.
+An operator's system may manage routes itself and submit all of them as one document with a version
+of its own. The highest version is in force. A document's settings for a request (idempotent,
+timeout, attempts) override the service's profile, which says how the service's servers are treated.
 """
 
 from abc import ABC, abstractmethod
@@ -15,7 +15,7 @@
 from persimmonusher_model.organisations import Organisation, check_organisations
 
 LONGEST_TIMEOUT_MS: Final = 600_000
-"""Ten minutes, as for a profile's deadline: it bounds how long a graceful stop may take."""
+"""Ten minutes, as for a profile's deadline; it bounds the duration of a graceful stop."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRule:
-    """What one route asks for its requests. Times are milliseconds."""
+    """The rules of one route for its requests. Times are milliseconds."""
 
     name: str
     host: str
@@ -37,14 +37,14 @@
     priority: int
     """0 is the most urgent."""
     target_ms: int
-    """An answer within this time is worth most to the caller."""
+    """Target latency: an answer within this time is worth most to the caller."""
     timeout_ms: int
-    """The caller has its final answer by then, whatever the servers do."""
+    """The caller gets its final answer by then, whatever the servers do."""
     attempts: int
-    """Servers that one request may be sent to in all."""
+    """Total servers that one request may be sent to."""
     services: tuple[WeightedService, ...]
     public: bool = False
-    """Whether a request needs no API key, where there are organisations."""
+    """Whether requests need no API key although the document has organisations."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +54,12 @@
     name: ServiceName
     health_path: str
     connection_limit: int
-    """Connections that each of its servers takes from all callers together."""
+    """Connections that each of its servers accepts from all callers together."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take."""
+    """Limits on the size of a caller's request and on the time for sending it."""
 
     head_bytes: int
     body_bytes: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class RoutingDocument:
-    """A whole document under the operator's version."""
+    """A complete document, with the operator's version number."""
 
     version: int
     limits: CallerLimits
@@ -80,15 +80,15 @@
 
 
 class DocumentCodec(ABC):
-    """Reads the operator's own form of a document; the fleet keeps and returns that form as is."""
+    """Parses the operator's document format; the fleet stores and returns the original bytes."""
 
     @abstractmethod
     def parse(self, content: bytes) -> RoutingDocument:
-        """Read a document; raise UsherError with every finding for one that can't be in force."""
+        """Parse and check a document; raise UsherError with all findings if it is invalid."""
 
 
 def check_document(document: RoutingDocument) -> list[Finding]:
-    """List everything that keeps a document from being in force."""
+    """Return a finding for each problem that makes a document invalid."""
     findings: list[Finding] = []
     known = {service.name for service in document.services}
     taken: set[tuple[str, str]] = set()
