--- a/packages/decisions/src/persimmonusher_decisions/admission.py
+++ b/packages/decisions/src/persimmonusher_decisions/admission.py
@@ -9,25 +9,25 @@
 from persimmonusher_model.profile import Profile
 
 RATE_MEMORY_SECONDS: Final = 1.0
-FEWEST_ANSWERS: Final = 4.0
+MIN_COUNTED_REQUESTS: Final = 4.0
 """Requests in memory below which the drain rate counts as unknown."""
-WAIT_MARGIN: Final = 0.35
+MAX_EXPECTED_WAIT_SHARE: Final = 0.35
 """A request waits only if its expected wait is below this part of the longest allowed one, so that
 few requests are refused after they have waited."""
-SHORTEST_RETRY_AFTER: Final = 1.0
-LONGEST_RETRY_AFTER: Final = 30.0
-SHORTEST_RETURN: Final = 0.1
+MIN_RETRY_AFTER_SECONDS: Final = 1.0
+MAX_RETRY_AFTER_SECONDS: Final = 30.0
+MIN_SHED_RETRY_AFTER_SECONDS: Final = 0.1
 """Shortest retry-after, in seconds, for a caller whose request servers with free slots refused:
 less than usual work takes, and enough for the answer and a new connection."""
-RETURN_SHARE: Final = 0.5
+SHED_RETRY_LATENCY_SHARE: Final = 0.5
 """Part of the recent latency that such a caller waits when half of the attempts are refused: three
 tries fit into the time that callers accept, two and a half times that of the work."""
-LARGEST_SHED_SHARE: Final = 0.95
+MAX_SHED_SHARE: Final = 0.95
 """Share of refused attempts above which the retry-after stops growing."""
-SHED_MEMORY: Final = 0.1
+NEWEST_ATTEMPT_WEIGHT: Final = 0.1
 """Weight of the newest attempt in the share of attempts that servers refused. About ten attempts
 make it up: two or three seconds' worth at an instance of an average fleet."""
-RETRY_AFTER_SPREAD: Final = 0.25
+RETRY_AFTER_JITTER: Final = 0.25
 """Random variation of retry-after, up and down, so that callers refused together don't return
 together."""
 
@@ -41,15 +41,15 @@
 
     def record(self, now: float) -> None:
         """Count one request."""
-        self._fade(now)
+        self._decay(now)
         self._count += 1.0
 
     def find(self, now: float) -> float | None:
         """Return requests per second, or None if too few requests were counted."""
-        self._fade(now)
-        return self._count / RATE_MEMORY_SECONDS if self._count >= FEWEST_ANSWERS else None
+        self._decay(now)
+        return self._count / RATE_MEMORY_SECONDS if self._count >= MIN_COUNTED_REQUESTS else None
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         if now > self._at:
             self._count *= exp((self._at - now) / RATE_MEMORY_SECONDS)
             self._at = now
@@ -85,8 +85,8 @@
         rate = self._rates[request.idempotent].find(now)
         if rate is not None:
             expected = (self.queue.count_ahead(request) + 1) / rate
-            longest = min(self._longest_wait(), request.deadline - now - usual_latency)
-            if expected > WAIT_MARGIN * longest:
+            longest = min(self._find_longest_wait(), request.deadline - now - usual_latency)
+            if expected > MAX_EXPECTED_WAIT_SHARE * longest:
                 return self.refuse(request, RefusalReason.OVERLOAD, now)
         self.queue.push(request)
         return None
@@ -101,7 +101,7 @@
 
     def record_attempt(self, refused: bool) -> None:
         """Record the end of an attempt: whether its server refused to run the request."""
-        self._shed_share += SHED_MEMORY * (refused - self._shed_share)
+        self._shed_share += NEWEST_ATTEMPT_WEIGHT * (refused - self._shed_share)
 
     def refuse_shed(
         self, request: Request, reason: RefusalReason, recent_latency: float, now: float
@@ -118,9 +118,12 @@
         """
         if len(self.queue):
             return self.refuse(request, reason, now)
-        share = min(LARGEST_SHED_SHARE, self._shed_share)
-        seconds = max(SHORTEST_RETURN, RETURN_SHARE * recent_latency * share / (1.0 - share))
-        return Refusal(request, reason, seconds * self._choose_spread())
+        share = min(MAX_SHED_SHARE, self._shed_share)
+        seconds = max(
+            MIN_SHED_RETRY_AFTER_SECONDS,
+            SHED_RETRY_LATENCY_SHARE * recent_latency * share / (1.0 - share),
+        )
+        return Refusal(request, reason, seconds * self._choose_jitter())
 
     def find_lateness(
         self, request: Request, usual_latency: float, now: float
@@ -128,34 +131,36 @@
         """Return the reason why a request is too late, or None if it isn't."""
         if now + usual_latency > request.deadline:
             return RefusalReason.DEADLINE
-        if now - request.arrived > self._longest_wait():
+        if now - request.arrived > self._find_longest_wait():
             return RefusalReason.QUEUE_TIMEOUT
         return None
 
     def find_wait_left(self, request: Request, usual_latency: float, now: float) -> float:
         """Return the seconds until a request is too late; 0 or less if it is already."""
-        queue_wait = request.arrived + self._longest_wait() - now
+        queue_wait = request.arrived + self._find_longest_wait() - now
         return min(queue_wait, request.deadline - now - usual_latency)
 
     def refuse_closed(self, request: Request, seconds: float) -> Refusal:
         """Refuse a request while all servers are closed to this instance, for `seconds` more."""
-        retry_after = min(LONGEST_RETRY_AFTER, max(SHORTEST_RETRY_AFTER, seconds))
+        retry_after = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
         return Refusal(request, RefusalReason.SERVERS_CLOSED, retry_after)
 
-    def _longest_wait(self) -> float:
+    def _find_longest_wait(self) -> float:
         return self._profile.queue_wait_ms / 1000.0
 
     def _find_retry_after(self, now: float) -> float:
         rates = [rate.find(now) or 0.0 for rate in self._rates.values()]
         rate = sum(rates)
         if not rate:
-            return SHORTEST_RETRY_AFTER
+            return MIN_RETRY_AFTER_SECONDS
         drained = (now - self._backlog_at) * rate
-        largest = rate * LONGEST_RETRY_AFTER
+        largest = rate * MAX_RETRY_AFTER_SECONDS
         self._backlog = min(largest, max(0.0, self._backlog - drained) + 1.0)
         self._backlog_at = now
         seconds = (self._backlog + len(self.queue)) / rate
-        return min(LONGEST_RETRY_AFTER, max(SHORTEST_RETRY_AFTER, seconds) * self._choose_spread())
+        return min(
+            MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds) * self._choose_jitter()
+        )
 
-    def _choose_spread(self) -> float:
-        return 1.0 + RETRY_AFTER_SPREAD * (2.0 * self._random.random() - 1.0)
+    def _choose_jitter(self) -> float:
+        return 1.0 + RETRY_AFTER_JITTER * (2.0 * self._random.random() - 1.0)
--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -10,7 +10,7 @@
     EjectionState,
     EvidenceDigest,
 )
-from persimmonusher_decisions.floor import Candidate, keep_floor
+from persimmonusher_decisions.floor import Candidate, apply_floor
 from persimmonusher_decisions.peers import COMMON_CAUSE_SHARE, ServerView, View
 from persimmonusher_decisions.readmission import Absence, WaitHistory
 from persimmonusher_decisions.server import BackendServer, ServerState
@@ -21,12 +21,12 @@
 LEASE_SECONDS: Final = 3.0
 """Long enough that several renewals may be lost, short enough that the verdict of an isolated
 assessor lapses soon."""
-AGREEMENT_SHARE: Final = 0.1
+AGREEMENT_SCORE: Final = 0.1
 """Score from which a failure domain's own evidence agrees with that of all domains together."""
-AGREEING_DOMAINS: Final = 0.6
+AGREEING_DOMAINS_SHARE: Final = 0.6
 """Part of the domains with work on a server that must agree before it is ejected for all domains. A
 one-way network cut from one domain of three or four affects that domain only."""
-DOMAIN_SCORE: Final = 1.4
+DOMAIN_THRESHOLD: Final = 1.4
 """Score needed to eject a server for one domain alone. A domain sees about a quarter of the
 answers, so a blip is a larger share of them, while a real one-way cut lasts."""
 EVERYWHERE: Final = FailureDomain("")
@@ -80,7 +80,7 @@
         for server in known:
             before = self._boots.get(server.server_id)
             if before is not None and before != server.boot_id:
-                self._forgive(server.server_id, now)
+                self._reset_restarted(server.server_id, now)
         self._boots = {server.server_id: server.boot_id for server in known}
         for view in self._views.values():
             view.keep_servers(self._slots)
@@ -130,7 +130,7 @@
             for view in self._views.values():
                 view.close_slice(self._sensitivity)
             self._review_absences(now)
-            self._find_ill(now)
+            self._eject_faulty(now)
         self._sequence += 1
         ejections = self._list_ejections()
         return EjectionSet(
@@ -142,14 +142,14 @@
             ejections=ejections,
             quarantines=self._strikes.list_quarantines(now),
             watched=self._strikes.list_watched(),
-            note=self._describe_restraint(),
+            note=self._explain_restraint(),
         )
 
     def _find_absence(self, domain: FailureDomain, server_id: ServerId) -> Absence | None:
         absence = self._absences.get((EVERYWHERE, server_id))
         return absence or self._absences.get((domain, server_id))
 
-    def _forgive(self, server_id: ServerId, now: float) -> None:
+    def _reset_restarted(self, server_id: ServerId, now: float) -> None:
         for view in self._views.values():
             if server_id in view.servers:
                 view.servers[server_id].reset()
@@ -171,10 +171,10 @@
                 del self._absences[place]
                 self._reset(place)
 
-    def _find_ill(self, now: float) -> None:
+    def _eject_faulty(self, now: float) -> None:
         for domain, view in self._views.items():
             for server_id, server in view.servers.items():
-                threshold = 1.0 if domain == EVERYWHERE else DOMAIN_SCORE
+                threshold = 1.0 if domain == EVERYWHERE else DOMAIN_THRESHOLD
                 if server.score < threshold or self._find_absence(domain, server_id):
                     continue
                 if domain != EVERYWHERE or self._do_domains_agree(server_id):
@@ -184,8 +184,8 @@
     def _do_domains_agree(self, server_id: ServerId) -> bool:
         views = [view for domain, view in self._views.items() if domain != EVERYWHERE]
         scores = [view.servers[server_id].score for view in views if server_id in view.servers]
-        agreeing = sum(score >= AGREEMENT_SHARE for score in scores)
-        return agreeing >= AGREEING_DOMAINS * len(scores)
+        agreeing = sum(score >= AGREEMENT_SCORE for score in scores)
+        return agreeing >= AGREEING_DOMAINS_SHARE * len(scores)
 
     def _eject(self, place: Place, strength: float, reason: str, now: float) -> None:
         wait = self._waits.setdefault(place, WaitHistory()).begin(now)
@@ -206,7 +206,7 @@
                 continue
             seen = self._list_absences(domain)
             candidates = [Candidate(name, absence.strength) for name, absence in seen.items()]
-            verdict = keep_floor(candidates, self._slots, self._floor_percent)
+            verdict = apply_floor(candidates, self._slots, self._floor_percent)
             held_back.update(verdict.held_back)
             ejections.extend(
                 Ejection(name, domain, seen[name].state, seen[name].reason, seen[name].strength)
@@ -222,7 +222,7 @@
             if place in (EVERYWHERE, domain)
         }
 
-    def _describe_restraint(self) -> str:
+    def _explain_restraint(self) -> str:
         """Explain why fewer servers are ejected than look faulty; empty if that isn't so."""
         notes: list[str] = []
         if self._held_back:
--- a/packages/decisions/src/persimmonusher_decisions/connections.py
+++ b/packages/decisions/src/persimmonusher_decisions/connections.py
@@ -8,10 +8,10 @@
 from persimmonusher_model.identifiers import InstanceId
 from persimmonusher_model.rendezvous import weigh
 
-HEADROOM: Final = 0.9
+USED_LIMIT_SHARE: Final = 0.9
 """Part of a server's connection limit that is shared out. While a membership change spreads,
 instances disagree on the number of live instances."""
-LARGEST_WEIGHT: Final = 2**64
+WEIGHT_RANGE: Final = 2**64
 
 
 class ConnectionBudget:
@@ -34,7 +34,7 @@
 
     def find_limit(self, server: BackendServer, profile_limit: int) -> int:
         """Return how many connections to a server this instance may hold; may be 0."""
-        limit = (server.connection_limit or profile_limit) * HEADROOM
+        limit = (server.connection_limit or profile_limit) * USED_LIMIT_SHARE
         share = limit / self._live
         if share >= 1.0:
             return int(share)
@@ -45,9 +45,9 @@
         for track in tracks:
             track.connection_limit = self.find_limit(track.server, profile_limit)
         if tracks and not any(track.connection_limit for track in tracks):
-            nearest = min(tracks, key=lambda track: self.rank(track.server))
-            nearest.connection_limit = 1
+            best_ranked = min(tracks, key=lambda track: self.rank(track.server))
+            best_ranked.connection_limit = 1
 
     def rank(self, server: BackendServer) -> float:
         """Return this instance's rendezvous rank for a server, from 0 (first) to 1."""
-        return weigh(self._instance_id, server.server_id) / LARGEST_WEIGHT
+        return weigh(self._instance_id, server.server_id) / WEIGHT_RANGE
--- a/packages/decisions/src/persimmonusher_decisions/detection.py
+++ b/packages/decisions/src/persimmonusher_decisions/detection.py
@@ -7,14 +7,14 @@
 SLICE_SECONDS: Final = 0.1
 """Evidence is evaluated in slices of this length, each with a bounded contribution."""
 
-USUAL_FAILING: Final = 0.01
+MIN_USUAL_FAILING_SHARE: Final = 0.01
 """Lower bound of the peers' usual failing share: rarer failures are noise."""
-USUAL_SLOW: Final = 0.05
+MIN_USUAL_SLOW_SHARE: Final = 0.05
 """Lower bound of the peers' usual slow share."""
-LENIENCY: Final = 1.5
+LENIENCY_FACTOR: Final = 1.5
 """Shares up to this many times the peers' lasting share count as natural differences between
 servers."""
-SLOW_REACH: Final = 0.6
+SLOW_TEST_REACH: Final = 0.6
 """The slow share tested for is the usual one plus this part of the rest. A server that is 2 times
 slower stays below it (it still carries half its work, and placement gives it less); one that is 4
 times slower is beyond it."""
@@ -41,12 +41,12 @@
     @classmethod
     def derive(cls, sensitivity: float) -> "Sensitivity":
         """Return the limits between ejection-averse (0) and detection-first (1)."""
-        calm = 1.0 - sensitivity
+        aversion = 1.0 - sensitivity
         return cls(
-            threshold=16.0 + 6.0 * calm,
-            failing_slices=round(4 + 10 * calm),
-            slow_slices=round(19 + 8 * calm),
-            least_failing=0.12 + 0.05 * calm,
+            threshold=16.0 + 6.0 * aversion,
+            failing_slices=round(4 + 10 * aversion),
+            slow_slices=round(19 + 8 * aversion),
+            least_failing=0.12 + 0.05 * aversion,
         )
 
 
@@ -67,27 +67,29 @@
     def __init__(self) -> None:
         self.score = 0.0
 
-    def add(self, bad: int, total: int, usual: float, ill: float, cap: float, scale: float) -> None:
-        """Add one slice: `bad` of `total` answers, tested for the share `ill` against `usual`.
+    def add(
+        self, bad: int, total: int, usual: float, faulty: float, cap: float, scale: float
+    ) -> None:
+        """Add one slice: `bad` of `total` answers, tested for the share `faulty` against `usual`.
 
         `cap` bounds the slice's contribution as a share of the threshold; `scale` is the threshold.
         """
         if not total or (not bad and not self.score):
             return
-        gain = bad * log(ill / usual) + (total - bad) * log((1.0 - ill) / (1.0 - usual))
-        vote = max(-cap, min(cap, gain / scale))
-        self.score = max(0.0, min(self.LARGEST_SCORE, self.score + vote))
+        log_ratio = bad * log(faulty / usual) + (total - bad) * log((1.0 - faulty) / (1.0 - usual))
+        contribution = max(-cap, min(cap, log_ratio / scale))
+        self.score = max(0.0, min(self.LARGEST_SCORE, self.score + contribution))
 
     def reset(self) -> None:
         """Set the score back to 0."""
         self.score = 0.0
 
 
-def choose_ill_failing(usual: float, least: float) -> float:
+def choose_faulty_failing_share(usual: float, least: float) -> float:
     """Return the failing share to test for, given the usual one and the least to detect."""
     return min(max(least, 4.0 * usual), (1.0 + usual) / 2.0)
 
 
-def choose_ill_slow(usual: float) -> float:
+def choose_faulty_slow_share(usual: float) -> float:
     """Return the slow share to test for, given the usual one."""
-    return usual + SLOW_REACH * (1.0 - usual)
+    return usual + SLOW_TEST_REACH * (1.0 - usual)
--- a/packages/decisions/src/persimmonusher_decisions/ejection.py
+++ b/packages/decisions/src/persimmonusher_decisions/ejection.py
@@ -5,13 +5,13 @@
 from typing import Final
 
 from persimmonusher_decisions.evidence_messages import Ejection, EjectionSet
-from persimmonusher_decisions.floor import Candidate, keep_floor
+from persimmonusher_decisions.floor import Candidate, apply_floor
 from persimmonusher_decisions.track import ServerTrack
 from persimmonusher_model.identifiers import FailureDomain, ServerId
 
-LONGEST_LEASE_SECONDS: Final = 10.0
+MAX_LEASE_SECONDS: Final = 10.0
 """Upper bound of a set's lease: the verdict of an assessor that is gone must lapse."""
-HELD_BACK: Final = "looks ill, kept in place by the floor: "
+HELD_BACK_PREFIX: Final = "looks ill, kept in place by the floor: "
 
 
 class EjectionLease:
@@ -37,7 +37,7 @@
             if ejections.freshness <= current.freshness:
                 return False
         self._set = ejections
-        self._until = asked + min(LONGEST_LEASE_SECONDS, ejections.lease_seconds)
+        self._until = asked + min(MAX_LEASE_SECONDS, ejections.lease_seconds)
         return True
 
     def expire(self, now: float) -> bool:
@@ -61,7 +61,7 @@
         named = self._list_named()
         ready = {track.server_id: track.slots for track in known if track.is_ready}
         candidates = [Candidate(name, item.strength) for name, item in named.items()]
-        out = set(keep_floor(candidates, ready, floor_percent).out)
+        out = set(apply_floor(candidates, ready, floor_percent).out)
         for track in known:
             ejection = named.get(track.server_id)
             state = ejection.state if ejection and track.server_id in out else None
@@ -70,7 +70,7 @@
             track.out = state
             track.reason = ""
             if ejection:
-                track.reason = ejection.reason if state else HELD_BACK + ejection.reason
+                track.reason = ejection.reason if state else HELD_BACK_PREFIX + ejection.reason
 
     def _list_named(self) -> dict[ServerId, Ejection]:
         if self._set is None:
--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -16,22 +16,22 @@
 SHARED_CLASS: Final = ""
 ROUTINE_ANSWERS: Final = 16
 """Good answers of one server from which the next digest includes it, without anything abnormal."""
-ROUTINE_SECONDS: Final = 1.0
+ROUTINE_INTERVAL_SECONDS: Final = 1.0
 """Interval between digests, and between a server's lines if it has fewer good answers than that and
 nothing abnormal. A line with bad answers also contains the good ones before them, so holding
 good ones back doesn't distort the share of bad ones."""
-URGENT_SECONDS: Final = 0.1
+MIN_DIGEST_INTERVAL_SECONDS: Final = 0.1
 """Shortest interval between digests, urgent ones included."""
-URGENT_SLOW: Final = 2
+URGENT_SLOW_ANSWERS: Final = 2
 """Slow answers of one server that make a digest urgent, if they are most of its answers."""
-SLOW_MEMORY: Final = 0.05
+NEWEST_ANSWER_WEIGHT: Final = 0.05
 """Weight of the newest answer in this instance's share of slow answers: about 20 make it up."""
-QUICK_SHARE: Final = 0.5
+QUICK_LATENCY_SHARE: Final = 0.5
 """Part of the recent latency below which hardly any answer comes: one in twenty where latency
 spreads by a factor of one and a half about its median."""
-RECENT_MEMORY: Final = 0.1
+NEWEST_LATENCY_WEIGHT: Final = 0.1
 """Weight of the newest answer in the service's recent latency: about ten make it up."""
-SATURATED_SHARE: Final = 0.5
+SATURATED_SLOW_SHARE: Final = 0.5
 """Share of slow answers from which the service counts as saturated, so that age proves nothing."""
 FAILED_KINDS: Final = frozenset(
     {
@@ -116,8 +116,8 @@
             return
         if outcome.kind is OutcomeKind.SUCCESS:
             track.answered += 1
-            self._learn_recent(outcome.latency)
-            self._time(attempt, outcome.latency)
+            self._update_recent_latency(outcome.latency)
+            self._record_latency(attempt, outcome.latency)
         elif outcome.kind is OutcomeKind.REFUSED and outcome.reported_load is not None:
             track.timed += 1
             track.slow += 1
@@ -128,11 +128,11 @@
     def find_usual_latency(self, request_class: str) -> float:
         """Return the median latency of a class, or 0 if nothing is known yet.
 
-        Until the class has a baseline, QUICK_SHARE of the service's recent latency is used instead:
-        a request with less time left than that would only waste a slot.
+        Until the class has a baseline, QUICK_LATENCY_SHARE of the service's recent latency is used
+        instead: a request with less time left than that would only waste a slot.
         """
         median = self._find_baseline(request_class).median
-        return QUICK_SHARE * (self.recent_latency or 0.0) if median is None else median
+        return QUICK_LATENCY_SHARE * (self.recent_latency or 0.0) if median is None else median
 
     def find_slow_limit(self, request_class: str) -> float | None:
         """Return the latency beyond which an answer of a class is slow, or None if unknown.
@@ -148,7 +148,7 @@
 
     def take_overdue(self, now: float) -> list[Attempt]:
         """Return the attempts that became overdue since the last call; none under saturation."""
-        if self._slow_share >= SATURATED_SHARE:
+        if self._slow_share >= SATURATED_SLOW_SHARE:
             return []
         overdue = [item for item in self._attempts.values() if self._is_overdue(item, now)]
         for attempt in overdue:
@@ -166,14 +166,14 @@
         if now < self._overdue_at:
             return
         self._overdue_at = now + OVERDUE_CHECK_SECONDS
-        calm = self._slow_share < SATURATED_SHARE
+        is_unsaturated = self._slow_share < SATURATED_SLOW_SHARE
         for attempt in self._attempts.values():
             if attempt.stuck:
                 continue
             baseline = self._find_baseline(attempt.dispatch.request.request_class)
             if baseline.slow_limit is not None and baseline.stuck_limit is not None:
                 age = now - attempt.dispatch.started
-                stuck = calm and age > baseline.stuck_limit
+                stuck = is_unsaturated and age > baseline.stuck_limit
                 self._mark(attempt, age > baseline.slow_limit, stuck)
 
     def list_in_flight(self, track: ServerTrack) -> list[Dispatch]:
@@ -191,17 +191,17 @@
             attempt.track.answered += 1
             attempt.track.failed += 1
 
-    def _learn_recent(self, latency: float) -> None:
+    def _update_recent_latency(self, latency: float) -> None:
         usual = latency if self.recent_latency is None else self.recent_latency
-        self.recent_latency = usual + RECENT_MEMORY * (latency - usual)
+        self.recent_latency = usual + NEWEST_LATENCY_WEIGHT * (latency - usual)
 
-    def _time(self, attempt: Attempt, latency: float) -> None:
+    def _record_latency(self, attempt: Attempt, latency: float) -> None:
         baseline = self._find_baseline(attempt.dispatch.request.request_class)
         track = attempt.track
         limit = baseline.slow_limit
         if limit is not None:
             slow = latency > limit
-            self._slow_share += SLOW_MEMORY * (slow - self._slow_share)
+            self._slow_share += NEWEST_ANSWER_WEIGHT * (slow - self._slow_share)
             if not attempt.overdue:
                 track.timed += 1
                 track.slow += slow
@@ -222,8 +222,8 @@
 
     An assessor receives digests from dozens of instances. With several calls per second from each,
     it would be busy with digests that nearly all report nothing abnormal. So digests are sent once
-    a second, and earlier, but at least URGENT_SECONDS apart, when something failed, most of a
-    server's answers were slow, or there are strikes to report.
+    a second, and earlier, but at least MIN_DIGEST_INTERVAL_SECONDS apart, when something failed,
+    most of a server's answers were slow, or there are strikes to report.
     """
 
     def __init__(self) -> None:
@@ -232,16 +232,20 @@
     def is_due(self, tracks: Iterable[ServerTrack], has_strikes: bool, now: float) -> bool:
         """Return whether a digest is due now; if so, it counts as sent."""
         elapsed = now - self._sent_at
-        if elapsed < URGENT_SECONDS:
+        if elapsed < MIN_DIGEST_INTERVAL_SECONDS:
             return False
-        if elapsed < ROUTINE_SECONDS and not has_strikes and not any(map(_is_urgent, tracks)):
+        if (
+            elapsed < ROUTINE_INTERVAL_SECONDS
+            and not has_strikes
+            and not any(map(_is_urgent, tracks))
+        ):
             return False
         self._sent_at = now
         return True
 
 
 def _is_urgent(track: ServerTrack) -> bool:
-    return track.failed > 0 or (track.slow >= URGENT_SLOW and 2 * track.slow > track.timed)
+    return track.failed > 0 or (track.slow >= URGENT_SLOW_ANSWERS and 2 * track.slow > track.timed)
 
 
 def take_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
@@ -254,4 +258,4 @@
 def _is_due(track: ServerTrack, now: float) -> bool:
     if track.is_abnormal or track.answered >= ROUTINE_ANSWERS:
         return True
-    return track.answered > 0 and now - track.told_at >= ROUTINE_SECONDS
+    return track.answered > 0 and now - track.told_at >= ROUTINE_INTERVAL_SECONDS
--- a/packages/decisions/src/persimmonusher_decisions/fair_queue.py
+++ b/packages/decisions/src/persimmonusher_decisions/fair_queue.py
@@ -6,9 +6,9 @@
 from persimmonusher_decisions.work import Request
 from persimmonusher_model.identifiers import CallerId
 
-LOOKUP_ROOM: Final = 0.75
+LOOKUP_PLACES_SHARE: Final = 0.75
 """Part of the queue that idempotent requests may fill; the rest is reserved for others."""
-TURNS_FOR_NON_IDEMPOTENT: Final = 3
+NON_IDEMPOTENT_TURNS: Final = 3
 """Non-idempotent requests released for each idempotent one while both wait."""
 
 
@@ -91,7 +91,7 @@
         if len(self) >= limit:
             return False
         if request.idempotent:
-            return self._lookups.has_room(request.caller, int(limit * LOOKUP_ROOM))
+            return self._lookups.has_room(request.caller, int(limit * LOOKUP_PLACES_SHARE))
         return self._changing.has_room(request.caller, limit)
 
     def count_ahead(self, request: Request) -> int:
@@ -107,7 +107,7 @@
         """Remove and return the request whose turn it is; the queue must not be empty."""
         if not self._lookups.count:
             return self._changing.pop()
-        if self._changing.count and self._turns < TURNS_FOR_NON_IDEMPOTENT:
+        if self._changing.count and self._turns < NON_IDEMPOTENT_TURNS:
             self._turns += 1
             return self._changing.pop()
         self._turns = 0
--- a/packages/decisions/src/persimmonusher_decisions/fanout.py
+++ b/packages/decisions/src/persimmonusher_decisions/fanout.py
@@ -2,10 +2,10 @@
 
 from typing import Final
 
-MESSAGES_A_SECOND: Final = 1_000.0
+MESSAGES_PER_SECOND: Final = 1_000.0
 """Messages per second that one keeper sends to all its followers together. Its single event loop
 also serves the log, backend servers and operators, and must have time for them."""
-LONGEST_JOIN_SECONDS: Final = 0.2
+MAX_BATCH_SECONDS: Final = 0.2
 """Longest time for which updates are batched. A notice that is later than this comes too late for
 most of the requests that it could have saved."""
 
@@ -21,16 +21,16 @@
     """
 
     def __init__(self) -> None:
-        self._told_at = float("-inf")
+        self._round_sent_at = float("-inf")
 
     def find_due(self, followers: int, now: float) -> float:
         """Return when the next round may go, now at the earliest."""
-        join = min(LONGEST_JOIN_SECONDS, followers / MESSAGES_A_SECOND)
-        return max(now, self._told_at + join)
+        join = min(MAX_BATCH_SECONDS, followers / MESSAGES_PER_SECOND)
+        return max(now, self._round_sent_at + join)
 
     def record_round(self, now: float) -> None:
         """Record that a round to all followers is sent now."""
-        self._told_at = now
+        self._round_sent_at = now
 
 
 class CallPace:
--- a/packages/decisions/src/persimmonusher_decisions/floor.py
+++ b/packages/decisions/src/persimmonusher_decisions/floor.py
@@ -22,7 +22,7 @@
     held_back: tuple[ServerId, ...]
 
 
-def keep_floor(
+def apply_floor(
     candidates: Iterable[Candidate], slots: Mapping[ServerId, int], floor_percent: int
 ) -> FloorVerdict:
     """Choose the candidates with the strongest evidence whose ejection leaves the floor in place.
--- a/packages/decisions/src/persimmonusher_decisions/further_attempts.py
+++ b/packages/decisions/src/persimmonusher_decisions/further_attempts.py
@@ -6,7 +6,7 @@
 from persimmonusher_decisions.dispatcher import Dispatcher
 from persimmonusher_decisions.evidence import EvidenceLog
 from persimmonusher_decisions.hedging import may_hedge
-from persimmonusher_decisions.placement import CROWDED, Placement
+from persimmonusher_decisions.placement import CROWDED_LOAD_PER_SLOT, Placement
 from persimmonusher_decisions.quarantine import Quarantine
 from persimmonusher_decisions.retries import RetryBudget
 from persimmonusher_decisions.work import (
@@ -85,7 +85,7 @@
         Both copies must be finished exactly once each; the one that lost as CANCELLED.
         """
         track = self._placement.choose(True, dispatch.server.server_id, now)
-        if track is None or track.load > CROWDED:
+        if track is None or track.load > CROWDED_LOAD_PER_SLOT:
             return None
         waiting = len(self._admission.queue)
         if not may_hedge(profile, dispatch, self._retries, waiting, now):
--- a/packages/decisions/src/persimmonusher_decisions/hedging.py
+++ b/packages/decisions/src/persimmonusher_decisions/hedging.py
@@ -6,10 +6,10 @@
 from persimmonusher_decisions.work import Dispatch, Request
 from persimmonusher_model.profile import Profile
 
-LATEST_SHARE: Final = 0.5
+MAX_DELAY_SHARE: Final = 0.5
 """Part of the time left to a request after which its copy is sent at the latest, so that there is
 time for the copy to be answered."""
-BUDGET_SHARE: Final = 0.5
+HEDGE_BUDGET_SHARE: Final = 0.5
 """Part of the retry budget that hedged requests may use: a failed request needs a second attempt
 more than one that may still be answered."""
 
@@ -27,7 +27,7 @@
         return profile.hedge_after_ms / 1000.0
     if not profile.hedge_slow or not request.idempotent:
         return None
-    latest = LATEST_SHARE * (request.deadline - now)
+    latest = MAX_DELAY_SHARE * (request.deadline - now)
     return latest if slow_limit is None else min(slow_limit, latest)
 
 
@@ -47,4 +47,4 @@
         return False
     if dispatch.request.max_attempts == 1:
         return False
-    return budget.spend(now, BUDGET_SHARE)
+    return budget.spend(now, HEDGE_BUDGET_SHARE)
--- a/packages/decisions/src/persimmonusher_decisions/learning.py
+++ b/packages/decisions/src/persimmonusher_decisions/learning.py
@@ -13,7 +13,7 @@
 from persimmonusher_decisions.work import Dispatch, Outcome, OutcomeKind
 from persimmonusher_model.profile import Profile
 
-PENALTIES: Final = {
+PENALTIES_PER_SLOT: Final = {
     OutcomeKind.FAILURE: 0.3,
     OutcomeKind.TIMEOUT: 1.0,
     OutcomeKind.BROKEN: 1.0,
@@ -24,7 +24,7 @@
 server is no fault, but the next request had better go elsewhere. The penalty for a failure is small
 on purpose: with a larger one, a server that fails half its work would lose nearly all of it, and
 with it the answers that the assessor needs as evidence, so it would be ejected later."""
-SILENT_REFUSAL_PENALTY: Final = 1.0
+SILENT_REFUSAL_PENALTY_PER_SLOT: Final = 1.0
 """Penalty for a refusal without a reported load: either the server's queue, several times its
 slots, is full, or the server is faulty, and nothing else will show when it has room again."""
 
@@ -74,11 +74,11 @@
             self._quarantine.record_break(dispatch.request.fingerprint, track.server_id, now)
         elif is_refusal:
             self._window.record_refusal(track.server_id, track.known_load, now)
-        silent = is_refusal and outcome.reported_load is None
-        share = SILENT_REFUSAL_PENALTY if silent else PENALTIES[outcome.kind]
+        has_no_load = is_refusal and outcome.reported_load is None
+        share = SILENT_REFUSAL_PENALTY_PER_SLOT if has_no_load else PENALTIES_PER_SLOT[outcome.kind]
         self._placement.penalize(track, share)
         self._suspicion.record(dispatch, track, outcome, tracks, profile, now)
-        if not self._is_excused(dispatch, outcome.kind):
+        if not self._is_request_at_fault(dispatch, outcome.kind):
             self._evidence.learn(attempt, outcome)
 
     def take_load(self, track: ServerTrack, outcome: Outcome, now: float) -> None:
@@ -93,7 +93,7 @@
             ratio = None if load is None else load / track.slots
             self._window.record_answer(ratio, len(self._evidence), now)
 
-    def _is_excused(self, dispatch: Dispatch, kind: OutcomeKind) -> bool:
+    def _is_request_at_fault(self, dispatch: Dispatch, kind: OutcomeKind) -> bool:
         """Return whether a break counts against the request rather than against the server."""
         server_id = dispatch.server.server_id
         fingerprint = dispatch.request.fingerprint
--- a/packages/decisions/src/persimmonusher_decisions/locality.py
+++ b/packages/decisions/src/persimmonusher_decisions/locality.py
@@ -4,11 +4,11 @@
 
 from persimmonusher_model.profile import Profile
 
-KILOBYTE: Final = 1_000
-SIZE_MEMORY: Final = 0.05
+BYTES_PER_KILOBYTE: Final = 1_000
+NEWEST_SIZE_WEIGHT: Final = 0.05
 """Weight of the newest answer in the moving average of answer sizes. About twenty answers make it
 up, so that one large answer doesn't shift a service's work."""
-LARGEST_FAR_LOAD: Final = 2.0
+MAX_FAR_LOAD_PER_SLOT: Final = 2.0
 """Load per slot above which waiting at a near server costs a caller more than saved bytes are
 worth: with twice its slots filled, a request waits for about one answer before its own begins."""
 
@@ -23,24 +23,24 @@
     """
 
     def __init__(self, profile: Profile) -> None:
-        self._usual_bytes: float | None = None
-        self._fixed = 0.0
-        self._for_each_kilobyte = 0.0
+        self._average_bytes: float | None = None
+        self._fixed_load = 0.0
+        self._load_per_kilobyte = 0.0
         self.replace_profile(profile)
 
     def replace_profile(self, profile: Profile) -> None:
         """Apply a new profile; the learned answer size is kept."""
-        self._fixed = profile.far_load_percent / 100.0
-        self._for_each_kilobyte = profile.far_kilobyte_percent / 100.0
+        self._fixed_load = profile.far_load_percent / 100.0
+        self._load_per_kilobyte = profile.far_kilobyte_percent / 100.0
 
     def record(self, answer_bytes: int) -> None:
         """Add the size of an answer to the average."""
-        usual = self._usual_bytes
-        change = 0.0 if usual is None else SIZE_MEMORY * (answer_bytes - usual)
-        self._usual_bytes = float(answer_bytes) if usual is None else usual + change
+        average = self._average_bytes
+        change = 0.0 if average is None else NEWEST_SIZE_WEIGHT * (answer_bytes - average)
+        self._average_bytes = float(answer_bytes) if average is None else average + change
 
     @property
     def far_load(self) -> float:
-        """Return the extra load per slot, at most LARGEST_FAR_LOAD."""
-        kilobytes = (self._usual_bytes or 0.0) / KILOBYTE
-        return min(LARGEST_FAR_LOAD, self._fixed + self._for_each_kilobyte * kilobytes)
+        """Return the extra load per slot, at most MAX_FAR_LOAD_PER_SLOT."""
+        kilobytes = (self._average_bytes or 0.0) / BYTES_PER_KILOBYTE
+        return min(MAX_FAR_LOAD_PER_SLOT, self._fixed_load + self._load_per_kilobyte * kilobytes)
--- a/packages/decisions/src/persimmonusher_decisions/peers.py
+++ b/packages/decisions/src/persimmonusher_decisions/peers.py
@@ -5,28 +5,28 @@
 from typing import Final
 
 from persimmonusher_decisions.detection import (
-    LENIENCY,
+    LENIENCY_FACTOR,
+    MIN_USUAL_FAILING_SHARE,
+    MIN_USUAL_SLOW_SHARE,
     SLICE_SECONDS,
-    USUAL_FAILING,
-    USUAL_SLOW,
     Sensitivity,
     SequentialTest,
-    choose_ill_failing,
-    choose_ill_slow,
+    choose_faulty_failing_share,
+    choose_faulty_slow_share,
 )
 from persimmonusher_decisions.evidence_messages import ServerEvidence
 from persimmonusher_model.identifiers import ServerId
 
-RECENT_SECONDS: Final = 0.3
+RECENT_MEMORY_SECONDS: Final = 0.3
 """Memory of the recent shares: three slices. A common cause must raise the usual share before the
 test of any single server crosses its threshold; with a longer memory, servers that the cause
 reaches first would be ejected for it."""
-LASTING_SECONDS: Final = 15.0
+LASTING_MEMORY_SECONDS: Final = 15.0
 """Memory of the lasting shares, which smooth over the few answers of a quiet service."""
-FEWEST_ANSWERS: Final = 2.0
+MIN_ANSWERS: Final = 2.0
 """Decayed count of answers below which a server's share isn't used for the median."""
-LARGEST_USUAL: Final = 0.9
-SATURATED_SHARE: Final = 0.6
+MAX_USUAL_SHARE: Final = 0.9
+SATURATED_SLOW_SHARE: Final = 0.6
 """Usual share of slow answers from which slowness isn't evaluated: the service is saturated, and
 which server is the slowest depends only on queues."""
 COMMON_CAUSE_SHARE: Final = 0.08
@@ -62,8 +62,8 @@
     def __init__(self) -> None:
         self.bad = 0
         self.total = 0
-        self.recent = Share(RECENT_SECONDS)
-        self.lasting = Share(LASTING_SECONDS)
+        self.recent = Share(RECENT_MEMORY_SECONDS)
+        self.lasting = Share(LASTING_MEMORY_SECONDS)
         self.test = SequentialTest()
 
     def add(self, bad: int, total: int) -> None:
@@ -84,8 +84,8 @@
     def reset(self) -> None:
         """Drop all evidence against the server, for example after its restart."""
         self.open_slice()
-        self.recent = Share(RECENT_SECONDS)
-        self.lasting = Share(LASTING_SECONDS)
+        self.recent = Share(RECENT_MEMORY_SECONDS)
+        self.lasting = Share(LASTING_MEMORY_SECONDS)
         self.test.reset()
 
 
@@ -114,8 +114,8 @@
 
     def __init__(self) -> None:
         self.servers: dict[ServerId, ServerView] = {}
-        self.usual_failing = USUAL_FAILING
-        self.usual_slow = USUAL_SLOW
+        self.usual_failing = MIN_USUAL_FAILING_SHARE
+        self.usual_slow = MIN_USUAL_SLOW_SHARE
         self.middle_failing = 0.0
 
     def keep_servers(self, server_ids: Iterable[ServerId]) -> None:
@@ -145,34 +145,34 @@
             server.failing.remember()
             server.slow.remember()
         self._learn_usual()
-        ill_failing = choose_ill_failing(self.usual_failing, sensitivity.least_failing)
-        ill_slow = choose_ill_slow(self.usual_slow)
+        faulty_failing = choose_faulty_failing_share(self.usual_failing, sensitivity.least_failing)
+        faulty_slow = choose_faulty_slow_share(self.usual_slow)
         failing_cap = 1.0 / sensitivity.failing_slices
         slow_cap = 1.0 / sensitivity.slow_slices
         scale = sensitivity.threshold
         for server in self.servers.values():
             failing, slow = server.failing, server.slow
             failing.test.add(
-                failing.bad, failing.total, self.usual_failing, ill_failing, failing_cap, scale
+                failing.bad, failing.total, self.usual_failing, faulty_failing, failing_cap, scale
             )
-            if self.usual_slow < SATURATED_SHARE:
-                slow.test.add(slow.bad, slow.total, self.usual_slow, ill_slow, slow_cap, scale)
+            if self.usual_slow < SATURATED_SLOW_SHARE:
+                slow.test.add(slow.bad, slow.total, self.usual_slow, faulty_slow, slow_cap, scale)
             failing.open_slice()
             slow.open_slice()
 
     def _learn_usual(self) -> None:
         failing = [server.failing for server in self.servers.values()]
         slow = [server.slow for server in self.servers.values()]
-        self.middle_failing = _find_middle([item.recent for item in failing])
-        self.usual_failing = max(USUAL_FAILING, _find_usual(failing))
-        self.usual_slow = max(USUAL_SLOW, _find_usual(slow))
+        self.middle_failing = _find_median([item.recent for item in failing])
+        self.usual_failing = max(MIN_USUAL_FAILING_SHARE, _find_usual(failing))
+        self.usual_slow = max(MIN_USUAL_SLOW_SHARE, _find_usual(slow))
 
 
 def _find_usual(symptoms: list[Symptom]) -> float:
-    lasting = LENIENCY * _find_middle([item.lasting for item in symptoms])
-    return min(LARGEST_USUAL, max(lasting, _find_middle([item.recent for item in symptoms])))
+    lasting = LENIENCY_FACTOR * _find_median([item.lasting for item in symptoms])
+    return min(MAX_USUAL_SHARE, max(lasting, _find_median([item.recent for item in symptoms])))
 
 
-def _find_middle(shares: list[Share]) -> float:
-    told = [share.value for share in shares if share.total >= FEWEST_ANSWERS]
-    return median(told) if told else 0.0
+def _find_median(shares: list[Share]) -> float:
+    known = [share.value for share in shares if share.total >= MIN_ANSWERS]
+    return median(known) if known else 0.0
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -7,48 +7,48 @@
 from typing import Final
 
 from persimmonusher_decisions.evidence_messages import EjectionState
-from persimmonusher_decisions.ramp import find_share
+from persimmonusher_decisions.ramp import find_ramp_share
 from persimmonusher_decisions.rate_limits import RateLimits
 from persimmonusher_decisions.track import ServerTrack
 from persimmonusher_model.identifiers import FailureDomain, ServerId
 
-REFRESH_SECONDS: Final = 0.1
+REFRESH_INTERVAL_SECONDS: Final = 0.1
 """Reports and penalties decay in steps of this length, so that the hot path only adds."""
 REPORT_MEMORY_SECONDS: Final = 1.0
 """Time constant with which a server's load report decays to the mean of all servers."""
 PENALTY_MEMORY_SECONDS: Final = 3.0
-LARGEST_PENALTY_SLOTS: Final = 2.0
+MAX_PENALTY_PER_SLOT: Final = 2.0
 """Largest penalty, in multiples of a server's slots. A penalized server still gets work once all
 others are that loaded: its share falls, but its capacity stays available."""
-LEAST_PENALTY_SLOTS: Final = 1 / 32
+MIN_PENALTY_PER_SLOT: Final = 1 / 32
 """Part of a server's slots below which its penalty is set to 0. Decay alone never reaches 0, and
 between idle servers any remainder would always decide."""
-LEAST_DIFFERENCE: Final = 0.001
+MIN_DIFFERENCE_REQUESTS: Final = 0.001
 """Difference in requests below which a decayed report is replaced by the mean."""
-REPORT_REACH: Final = 2.0
+MAX_REPORT_FACTOR: Final = 2.0
 """A report is clamped to between the mean of all servers' reports divided by this and this many
 times the mean, or the mean plus the server's slots where that is more."""
-CROWDED: Final = 2.0
+CROWDED_LOAD_PER_SLOT: Final = 2.0
 """Load per slot of the least loaded trusted server above which suspected servers are used, by
 further attempts and in services without lookups: a request would wait for about one answer. With a
 lower value more requests reach a failing server, with a higher one more are refused in bursts."""
-BUSY: Final = 1.0
+BUSY_LOAD_PER_SLOT: Final = 1.0
 """Load per slot of the least loaded trusted server above which a request would have to wait. Then
 lookups, which can be retried, try suspected servers, and all requests may use the suspected servers
 that the floor keeps in use."""
-LOOKUP_SECONDS: Final = 4.0
+LOOKUP_MEMORY_SECONDS: Final = 4.0
 """While the last lookup is more recent than this, first attempts of other requests leave it to
 lookups to try suspected servers. In a service without lookups they have to try them themselves."""
-SPARED_LOAD: Final = 0.5
+SPARED_LOAD_MARGIN_PER_SLOT: Final = 0.5
 """Load per slot by which a suspected server that the floor keeps in use must be below a trusted
 one to be chosen. It is likely to be failing, and a server that fails fast looks idle."""
-PROVING_SHARE: Final = 0.5
+PROVING_DELAY_SHARE: Final = 0.5
 """Part of the profile's `suspect_ms` that must pass after a server's failure before a lookup may
 try it: earlier, most servers are still failing."""
-SCAN_LIMIT: Final = 16
+MAX_SCANNED_SERVERS: Final = 16
 """Largest number of servers examined for one request. Of a longer list, a run of this length from
 a random start is examined."""
-COMPARED: Final = 2
+COMPARED_SERVERS: Final = 2
 """Unsuspected servers compared for a first attempt, from the near ones and from the far ones each.
 Load data on other instances' requests is up to half a second old: with more servers compared, all
 instances would choose the same idle server until the next update."""
@@ -61,8 +61,8 @@
     instance that counted only its own requests would overload a server that others have filled.
     So the score adds the load that the server reported with its last answer. A report may be
     stale or wrong, so it is only one input, decays to the mean within about a second, and is
-    clamped to REPORT_REACH around the mean: a server that always reports 0 gets work as if it had
-    half the mean load, and this instance's own outstanding requests there count in full.
+    clamped around the mean by MAX_REPORT_FACTOR: a server that always reports 0 gets work as if it
+    had half the mean load, and this instance's own outstanding requests there count in full.
 
     A server that fails fast looks idle and would attract all work. So each failure adds a penalty
     as if the server's slots were filled for some seconds. It affects the next request and decays
@@ -132,7 +132,7 @@
         floor keeps in use: such attempts are few, and a second failure reaches the caller.
         """
         if now >= self._refresh_at:
-            self._refresh(now, REFRESH_SECONDS)
+            self._refresh(now, REFRESH_INTERVAL_SECONDS)
         self._skip_turns(now)
         if self._probed and idempotent and tried is None:
             probe = self._choose_probe(now)
@@ -140,31 +140,37 @@
                 return probe
         if tried is None:
             best = self._choose_first(idempotent, now)
-            return best or self._find_least(self._open, None, now)
+            return best or self._find_least_loaded(self._open, None, now)
         candidates = self._pick_candidates()
         trusted = [track for track in candidates if not track.is_suspected(now)]
         best = self._choose_among(trusted, candidates, tried, now)
-        return best or self._find_least(self._open, None, now)
+        return best or self._find_least_loaded(self._open, None, now)
 
     def _choose_first(self, idempotent: bool, now: float) -> ServerTrack | None:
         if idempotent:
             self._lookup_at = now
-        best = self._find_least(self._sample(now), None, now)
-        if best is not None and best.load <= BUSY:
+        best = self._find_least_loaded(self._sample_unsuspected(now), None, now)
+        if best is not None and best.load <= BUSY_LOAD_PER_SLOT:
             return best
         if idempotent and best is not None:
-            proved = self._find_to_prove(now)
+            proved = self._find_suspect_to_try(now)
             if proved is not None:
                 return proved
         candidates = self._pick_candidates()
-        if best is not None and (best.load <= CROWDED or self._has_lookups(now)):
+        if best is not None and (
+            best.load <= CROWDED_LOAD_PER_SLOT or self._has_recent_lookup(now)
+        ):
             spared = [track for track in candidates if track.spared and track.is_suspected(now)]
-            other = self._find_least(spared, None, now)
-            return other if other is not None and other.load < best.load - SPARED_LOAD else best
+            other = self._find_least_loaded(spared, None, now)
+            return (
+                other
+                if other is not None and other.load < best.load - SPARED_LOAD_MARGIN_PER_SLOT
+                else best
+            )
         trusted = [track for track in candidates if not track.is_passed_by(now)]
         return self._choose_among(trusted, candidates, None, now)
 
-    def _find_to_prove(self, now: float) -> ServerTrack | None:
+    def _find_suspect_to_try(self, now: float) -> ServerTrack | None:
         """Return the suspected server that a lookup may try, preferably a near one.
 
         The result of a lookup is shared with all instances, and each failure domain has suspected
@@ -173,12 +179,12 @@
         near = self._find_longest_suspected(self._near, None, now, self.proving_seconds)
         return near or self._find_longest_suspected(self._far, None, now, self.proving_seconds)
 
-    def _has_lookups(self, now: float) -> bool:
+    def _has_recent_lookup(self, now: float) -> bool:
         """Return whether this service has had a lookup lately.
 
         Lookups try suspected servers at a lower cost, since they can be retried.
         """
-        return now - self._lookup_at < LOOKUP_SECONDS
+        return now - self._lookup_at < LOOKUP_MEMORY_SECONDS
 
     def _choose_among(
         self,
@@ -188,28 +194,28 @@
         now: float,
     ) -> ServerTrack | None:
         """Return the least loaded trusted server, or a suspected one if those are crowded."""
-        best = self._find_least(trusted, tried, now)
+        best = self._find_least_loaded(trusted, tried, now)
         if len(trusted) == len(candidates):
             return best
-        if best is None or best.load > CROWDED:
+        if best is None or best.load > CROWDED_LOAD_PER_SLOT:
             best = self._find_longest_suspected(candidates, tried, now) or best
-        return best or self._find_least(candidates, tried, now)
+        return best or self._find_least_loaded(candidates, tried, now)
 
     def learn_load(self, track: ServerTrack, reported_load: int) -> None:
         """Record a server's requests in progress as reported, this instance's own included."""
         others = max(0.0, float(reported_load - track.outstanding))
         mean = self._mean_others
-        highest = max(REPORT_REACH * mean, mean + track.slots)
-        track.others = min(highest, max(mean / REPORT_REACH, others))
+        highest = max(MAX_REPORT_FACTOR * mean, mean + track.slots)
+        track.others = min(highest, max(mean / MAX_REPORT_FACTOR, others))
         track.base = track.others + track.penalty
 
     def penalize(self, track: ServerTrack, share: float) -> None:
         """Lower a server's share of work for some seconds, as if `share` of its slots were busy."""
-        largest = LARGEST_PENALTY_SLOTS * track.slots
+        largest = MAX_PENALTY_PER_SLOT * track.slots
         track.penalty = min(largest, track.penalty + share * track.slots)
         track.base = (self._mean_others if track.others is None else track.others) + track.penalty
 
-    def _sample(self, now: float) -> list[ServerTrack]:
+    def _sample_unsuspected(self, now: float) -> list[ServerTrack]:
         """Return a few unsuspected open servers, from this failure domain and from the others.
 
         Servers with a rate limit come first and so win ties, as they are open to this instance
@@ -217,16 +223,16 @@
         """
         return [
             *(track for track in self._limited if self._may_compare(track, now)),
-            *self._take_unsuspected(self._near, now),
-            *self._take_unsuspected(self._far, now),
+            *self._pick_unsuspected(self._near, now),
+            *self._pick_unsuspected(self._far, now),
         ]
 
-    def _take_unsuspected(
+    def _pick_unsuspected(
         self, servers: Sequence[ServerTrack], now: float
     ) -> Iterable[ServerTrack]:
         start = int(self._random.random() * len(servers))
-        run = islice(chain(servers[start:], servers[:start]), SCAN_LIMIT)
-        return islice((track for track in run if self._may_compare(track, now)), COMPARED)
+        run = islice(chain(servers[start:], servers[:start]), MAX_SCANNED_SERVERS)
+        return islice((track for track in run if self._may_compare(track, now)), COMPARED_SERVERS)
 
     @staticmethod
     def _may_compare(track: ServerTrack, now: float) -> bool:
@@ -238,13 +244,13 @@
         if count < 2:
             return servers
         start = int(self._random.random() * count)
-        if count <= SCAN_LIMIT:
+        if count <= MAX_SCANNED_SERVERS:
             return servers[start:] + servers[:start]
-        end = start + SCAN_LIMIT
+        end = start + MAX_SCANNED_SERVERS
         return servers[start:end] if end <= count else servers[start:] + servers[: end - count]
 
     @staticmethod
-    def _find_least(
+    def _find_least_loaded(
         servers: Sequence[ServerTrack], tried: ServerId | None, now: float
     ) -> ServerTrack | None:
         best = None
@@ -305,7 +311,7 @@
             self._limits.skip_turns(track, now)
 
     def _refresh(self, now: float, elapsed: float) -> None:
-        self._refresh_at = now + REFRESH_SECONDS
+        self._refresh_at = now + REFRESH_INTERVAL_SECONDS
         known = [track.others for track in self._open if track.others is not None]
         mean = sum(known) / len(known) if known else 0.0
         self._mean_others = mean
@@ -316,11 +322,13 @@
             track.bias = 0.0 if self._is_near(track) else self.far_load
             if track.others is not None:
                 difference = (track.others - mean) * report_keep
-                track.others = mean if abs(difference) < LEAST_DIFFERENCE else mean + difference
+                track.others = (
+                    mean if abs(difference) < MIN_DIFFERENCE_REQUESTS else mean + difference
+                )
             track.penalty *= penalty_keep
-            if track.penalty < LEAST_PENALTY_SLOTS * track.slots:
+            if track.penalty < MIN_PENALTY_PER_SLOT * track.slots:
                 track.penalty = 0.0
-            share = self._ramp(track, now)
+            share = self._update_ramp(track, now)
             track.base = (mean * share if track.others is None else track.others) + track.penalty
         if elapsed:
             for servers in (self._open, self._near, self._far):
@@ -329,10 +337,10 @@
     def _is_near(self, track: ServerTrack) -> bool:
         return track.server.failure_domain == self._failure_domain
 
-    def _ramp(self, track: ServerTrack, now: float) -> float:
+    def _update_ramp(self, track: ServerTrack, now: float) -> float:
         share = 1.0
         if track.ramp_from is not None:
-            share = find_share(now - track.ramp_from, self.ramp_seconds)
+            share = find_ramp_share(now - track.ramp_from, self.ramp_seconds)
             if share >= 1.0:
                 track.ramp_from = None
         track.inverse = 1.0 / (track.slots * share)
--- a/packages/decisions/src/persimmonusher_decisions/quarantine.py
+++ b/packages/decisions/src/persimmonusher_decisions/quarantine.py
@@ -15,13 +15,13 @@
 SETTLE_SECONDS: Final = 0.1
 """A break is reported only after this time: a server that answers a request that was in flight
 before the break hasn't crashed."""
-NETWORK_SECONDS: Final = 1.0
-NETWORK_SERVERS: Final = 4
-"""Number of servers with breaks within NETWORK_SECONDS from which the network is the cause: no
-request runs on that many, since crash_strikes stops it sooner and max_retries is at most 5."""
-MAX_REMEMBERED: Final = 4_096
+NETWORK_BREAK_SECONDS: Final = 1.0
+NETWORK_BREAK_SERVERS: Final = 4
+"""Number of servers with breaks within NETWORK_BREAK_SECONDS from which the network is the cause:
+no request runs on that many, since crash_strikes stops it sooner and max_retries is at most 5."""
+MAX_SUCCEEDED: Final = 4_096
 """Fingerprints with a recent success that are remembered, in each of two generations."""
-MAX_STRUCK: Final = 1_024
+MAX_STRIKES: Final = 1_024
 """Fingerprints with strikes that are remembered, and strikes that wait to be sent."""
 
 
@@ -53,11 +53,11 @@
     def __init__(self, strikes: int, seconds: float) -> None:
         self._strikes = strikes
         self._seconds = seconds
-        self._struck: dict[str, dict[ServerId, float]] = {}
+        self._broken_servers: dict[str, dict[ServerId, float]] = {}
         self._unsettled: deque[Break] = deque()
         self._broken_at: dict[ServerId, float] = {}
-        self._outbox: deque[Strike] = deque(maxlen=MAX_STRUCK)
-        self._until: dict[str, float] = {}
+        self._outbox: deque[Strike] = deque(maxlen=MAX_STRIKES)
+        self._quarantined_until: dict[str, float] = {}
         self._watched: frozenset[str] = frozenset()
         self._succeeded: set[str] = set()
         self._succeeded_before: set[str] = set()
@@ -69,36 +69,36 @@
 
     def find_seconds_left(self, fingerprint: str, now: float) -> float:
         """Return the seconds for which the fingerprint is still quarantined; 0 if it isn't."""
-        if not self._until:
+        if not self._quarantined_until:
             return 0.0
-        until = self._until.get(fingerprint)
+        until = self._quarantined_until.get(fingerprint)
         if until is None:
             return 0.0
         if until <= now:
-            del self._until[fingerprint]
+            del self._quarantined_until[fingerprint]
             return 0.0
         return until - now
 
     def is_suspected(self, fingerprint: str, server_id: ServerId) -> bool:
         """Return whether the fingerprint has strikes from another server, or fleet-wide ones."""
-        struck = self._struck.get(fingerprint)
-        if struck and (len(struck) > 1 or server_id not in struck):
+        broken_servers = self._broken_servers.get(fingerprint)
+        if broken_servers and (len(broken_servers) > 1 or server_id not in broken_servers):
             return True
-        return fingerprint in self._watched or fingerprint in self._until
+        return fingerprint in self._watched or fingerprint in self._quarantined_until
 
     def record_success(self, fingerprint: str, server_id: ServerId, started: float) -> None:
         """Record a successful answer: it clears its fingerprint and its server's unsent breaks."""
-        if len(self._succeeded) >= MAX_REMEMBERED:
+        if len(self._succeeded) >= MAX_SUCCEEDED:
             self._succeeded_before = self._succeeded
             self._succeeded = set()
         self._succeeded.add(fingerprint)
         if self._watched and fingerprint in self._watched:
             self._watched -= {fingerprint}
             self._outbox.append(Strike(fingerprint, server_id, StrikeKind.SUCCESS))
-        if self._struck:
-            self._struck.pop(fingerprint, None)
+        if self._broken_servers:
+            self._broken_servers.pop(fingerprint, None)
         if self._unsettled:
-            self._drop(lambda item: item.server_id == server_id and started < item.at)
+            self._remove_unsettled(lambda item: item.server_id == server_id and started < item.at)
 
     def record_break(self, fingerprint: str, server_id: ServerId, now: float) -> None:
         """Record a connection that broke while this fingerprint was in flight on the server.
@@ -107,33 +107,35 @@
         """
         if fingerprint in self._succeeded or fingerprint in self._succeeded_before:
             return
-        if len(self._struck) >= MAX_STRUCK and fingerprint not in self._struck:
+        if len(self._broken_servers) >= MAX_STRIKES and fingerprint not in self._broken_servers:
             return
-        if self._is_network(server_id, now):
-            self._drop(lambda item: True)
+        if self._is_network_fault(server_id, now):
+            self._remove_unsettled(lambda item: True)
             return
         self._unsettled.append(Break(fingerprint, server_id, now))
-        struck = self._struck.setdefault(fingerprint, {})
-        struck[server_id] = now
-        if len(struck) >= self._strikes:
-            self._until[fingerprint] = now + self._seconds
+        broken_servers = self._broken_servers.setdefault(fingerprint, {})
+        broken_servers[server_id] = now
+        if len(broken_servers) >= self._strikes:
+            self._quarantined_until[fingerprint] = now + self._seconds
 
     def note_strike(self, fingerprint: str, server_id: ServerId, now: float) -> None:
         """Record a break that another instance saw."""
         if fingerprint in self._succeeded or fingerprint in self._succeeded_before:
             return
-        if len(self._struck) >= MAX_STRUCK and fingerprint not in self._struck:
+        if len(self._broken_servers) >= MAX_STRIKES and fingerprint not in self._broken_servers:
             return
-        struck = self._struck.setdefault(fingerprint, {})
-        struck[server_id] = now
-        if len(struck) >= self._strikes:
-            self._until[fingerprint] = now + self._seconds
+        broken_servers = self._broken_servers.setdefault(fingerprint, {})
+        broken_servers[server_id] = now
+        if len(broken_servers) >= self._strikes:
+            self._quarantined_until[fingerprint] = now + self._seconds
 
-    def _is_network(self, server_id: ServerId, now: float) -> bool:
+    def _is_network_fault(self, server_id: ServerId, now: float) -> bool:
         self._broken_at[server_id] = now
-        for name in [name for name, at in self._broken_at.items() if now - at > NETWORK_SECONDS]:
+        for name in [
+            name for name, at in self._broken_at.items() if now - at > NETWORK_BREAK_SECONDS
+        ]:
             del self._broken_at[name]
-        return len(self._broken_at) >= NETWORK_SERVERS
+        return len(self._broken_at) >= NETWORK_BREAK_SERVERS
 
     @property
     def has_news(self) -> bool:
@@ -144,7 +146,7 @@
         """Return and clear the strikes to send to the assessor."""
         while self._unsettled and now - self._unsettled[0].at >= SETTLE_SECONDS:
             item = self._unsettled.popleft()
-            if item.fingerprint in self._struck:
+            if item.fingerprint in self._broken_servers:
                 self._outbox.append(Strike(item.fingerprint, item.server_id, StrikeKind.CRASH))
         self._forget_old(now)
         count = min(MAX_STRIKES_IN_DIGEST, len(self._outbox))
@@ -160,35 +162,35 @@
         """
         for item in quarantines:
             seconds = min(item.seconds_left, self._seconds)
-            self._until[item.fingerprint] = max(
-                self._until.get(item.fingerprint, 0.0), now + seconds
+            self._quarantined_until[item.fingerprint] = max(
+                self._quarantined_until.get(item.fingerprint, 0.0), now + seconds
             )
         self._watched = frozenset(watched)
 
     def _forget_old(self, now: float) -> None:
         old = [
             fingerprint
-            for fingerprint, servers in self._struck.items()
+            for fingerprint, servers in self._broken_servers.items()
             if now - max(servers.values()) > self._seconds
         ]
         for fingerprint in old:
-            del self._struck[fingerprint]
+            del self._broken_servers[fingerprint]
 
-    def _drop(self, matches: Matcher) -> None:
+    def _remove_unsettled(self, matches: Matcher) -> None:
         kept: deque[Break] = deque()
         for item in self._unsettled:
             if matches(item):
-                self._forgive(item)
+                self._remove_strike(item)
             else:
                 kept.append(item)
         self._unsettled = kept
 
-    def _forgive(self, item: Break) -> None:
-        servers = self._struck.get(item.fingerprint)
+    def _remove_strike(self, item: Break) -> None:
+        servers = self._broken_servers.get(item.fingerprint)
         if servers is None:
             return
         servers.pop(item.server_id, None)
         if len(servers) < self._strikes:
-            self._until.pop(item.fingerprint, None)
+            self._quarantined_until.pop(item.fingerprint, None)
         if not servers:
-            del self._struck[item.fingerprint]
+            del self._broken_servers[item.fingerprint]
--- a/packages/decisions/src/persimmonusher_decisions/quota_shares.py
+++ b/packages/decisions/src/persimmonusher_decisions/quota_shares.py
@@ -13,17 +13,17 @@
 from persimmonusher_model.identifiers import CallerId
 from persimmonusher_model.organisations import RequestQuota
 
-DEPTH_SLACK: Final = 0.3
+DEPTH_SLACK_SHARE: Final = 0.3
 """Part of the slack that is added to the burst as bucket depth: with only a few tokens at each
 keeper, a request would often find none by chance."""
-HELD_SLACK: Final = 0.3
+HELD_SLACK_SHARE: Final = 0.3
 """Part of the slack that entries may hold as tokens for future requests."""
-START_SLACK: Final = 0.15
+START_SLACK_SHARE: Final = 0.15
 """Part of the slack with which a keeper's bucket starts, as it doesn't know what was granted before
 its start. All keepers may start twice in one window."""
 HELD_SECONDS: Final = 6.0
 """Time for which an entry may hold a token, by its own clock, from its request for it."""
-FORGET_SECONDS: Final = 30.0
+FORGET_INTERVAL_SECONDS: Final = 30.0
 """Interval at which organisations with full buckets are dropped."""
 
 
@@ -57,8 +57,8 @@
     def __init__(self, quota: RequestQuota, terms: QuotaTerms, part: float, started: float) -> None:
         self._terms = terms
         self._part = part
-        self._level = START_SLACK * terms.find_slack(quota) * part
-        self._at = started
+        self._level = START_SLACK_SHARE * terms.find_slack(quota) * part
+        self._refilled_at = started
         """When the bucket was last refilled; at first the keeper's start, as no token was granted
         since then."""
         self._holders: OrderedDict[str, float] = OrderedDict()
@@ -72,8 +72,8 @@
         is_lower = quota.per_second < self.quota.per_second or quota.burst < self.quota.burst
         self.quota = quota
         self._rate = quota.per_second * self._part
-        self._depth = (quota.burst + DEPTH_SLACK * slack) * self._part
-        self._most_held = int(HELD_SLACK * slack * self._part)
+        self._depth = (quota.burst + DEPTH_SLACK_SHARE * slack) * self._part
+        self._most_held = int(HELD_SLACK_SHARE * slack * self._part)
         if is_lower:
             self._level = min(self._level, self._depth)
 
@@ -120,8 +120,8 @@
 
     def _refill(self, now: float) -> None:
         """Add the tokens earned since the last refill; transferred ones beyond the depth stay."""
-        earned = self._rate * max(0.0, now - self._at)
-        self._at = max(self._at, now)
+        earned = self._rate * max(0.0, now - self._refilled_at)
+        self._refilled_at = max(self._refilled_at, now)
         if self._level < self._depth:
             self._level = min(self._depth, self._level + earned)
 
@@ -140,7 +140,7 @@
         self._part = 1.0 / keepers
         self._started = started
         self._shares: dict[CallerId, OrganisationShare] = {}
-        self._forget_at = started + FORGET_SECONDS
+        self._forget_at = started + FORGET_INTERVAL_SECONDS
 
     def __len__(self) -> int:
         return len(self._shares)
@@ -182,5 +182,5 @@
         """Drop full buckets, so that memory is used only for organisations with recent requests."""
         if now < self._forget_at:
             return
-        self._forget_at = now + FORGET_SECONDS
+        self._forget_at = now + FORGET_INTERVAL_SECONDS
         self._shares = {n: one for n, one in self._shares.items() if not one.is_full(now)}
--- a/packages/decisions/src/persimmonusher_decisions/ramp.py
+++ b/packages/decisions/src/persimmonusher_decisions/ramp.py
@@ -2,13 +2,13 @@
 
 from typing import Final
 
-FIRST_SHARE: Final = 0.25
+INITIAL_SHARE: Final = 0.25
 """Share at the start of the ramp. With a smaller share a small server would get no work at all and
 stay cold; see docs/design/decisions.md."""
 
 
-def find_share(elapsed: float, ramp_seconds: float) -> float:
-    """Return the share, from FIRST_SHARE up to 1, after `elapsed` seconds.
+def find_ramp_share(elapsed: float, ramp_seconds: float) -> float:
+    """Return the share, from INITIAL_SHARE up to 1, after `elapsed` seconds.
 
     When, for example, a third of the servers start while the others are busy, the cold ones are
     idle, so placement by load would send them a full load at once, and all of it would be slow. The
@@ -17,4 +17,4 @@
     """
     if elapsed >= ramp_seconds:
         return 1.0
-    return max(FIRST_SHARE, elapsed / ramp_seconds)
+    return max(INITIAL_SHARE, elapsed / ramp_seconds)
--- a/packages/decisions/src/persimmonusher_decisions/rate_limits.py
+++ b/packages/decisions/src/persimmonusher_decisions/rate_limits.py
@@ -7,13 +7,13 @@
 from persimmonusher_decisions.advice import ServerAdvice
 from persimmonusher_decisions.track import ServerTrack
 
-SHARED_PART: Final = 0.6
+SHARED_RATE_PART: Final = 0.6
 """Part of a server's limit that is shared out. Instances choose their turns independently, so now
 and then several turns coincide."""
 TURN_SECONDS: Final = 2.0
 """Length of a turn. An unused turn expires; otherwise all instances would use theirs at the
 beginning of a burst."""
-LEAST_RATE: Final = 0.25
+MIN_RATE_PER_SECOND: Final = 0.25
 """Requests per second, from the whole fleet, that a server gets whatever its limit: only an answer
 shows that a limit has ended."""
 ENTRIES_MEMORY_SECONDS: Final = 30.0
@@ -53,7 +53,7 @@
 
     def find_interval(self, rate: float) -> float:
         """Return the seconds between two turns of this instance, for a fleet-wide rate limit."""
-        return self._entries / (SHARED_PART * max(LEAST_RATE, rate))
+        return self._entries / (SHARED_RATE_PART * max(MIN_RATE_PER_SECOND, rate))
 
     def take(self, track: ServerTrack, advice: ServerAdvice, sent: float, now: float) -> bool:
         """Apply the limit in an answer to a request sent at `sent`; return whether it changes.
@@ -80,10 +80,10 @@
 
     def skip_turns(self, track: ServerTrack, now: float) -> None:
         """Advance to the current or next turn if earlier ones have expired."""
-        over = now - TURN_SECONDS - track.turn_at
-        if track.rate_limit is not None and over > 0.0:
+        expired_seconds = now - TURN_SECONDS - track.turn_at
+        if track.rate_limit is not None and expired_seconds > 0.0:
             interval = self.find_interval(track.rate_limit)
-            track.set_turn(track.turn_at + ceil(over / interval) * interval)
+            track.set_turn(track.turn_at + ceil(expired_seconds / interval) * interval)
 
     def _find_turn(self, track: ServerTrack, rate: float | None, now: float) -> float:
         """Return when the next turn begins at a server whose limit changes to `rate`.
--- a/packages/decisions/src/persimmonusher_decisions/readmission.py
+++ b/packages/decisions/src/persimmonusher_decisions/readmission.py
@@ -6,17 +6,17 @@
 from persimmonusher_decisions.evidence_messages import EjectionState, ServerEvidence
 
 FIRST_WAIT_SECONDS: Final = 2.0
-LONGEST_WAIT_SECONDS: Final = 120.0
-FORGIVEN_SECONDS: Final = 300.0
+MAX_WAIT_SECONDS: Final = 120.0
+RESET_WAIT_SECONDS: Final = 300.0
 """A server whose last wait ended longer ago than this starts with the first wait again."""
-GOOD_PROBES: Final = 20
-BAD_PROBES: Final = 2
+GOOD_PROBES_TO_PASS: Final = 20
+BAD_PROBES_TO_FAIL: Final = 2
 """Failed probes that end a probation: a single one may be noise."""
-PEERS_FACTOR: Final = 2.0
+MAX_PEERS_FACTOR: Final = 2.0
 """Failed probes are tolerated up to this many times the peers' failing share: while a shared
 dependency fails, a healthy server can't do better than its peers."""
-SLOW_PROBES: Final = 8
-SLOW_SHARE: Final = 0.5
+MIN_TIMED_PROBES: Final = 8
+MAX_SLOW_SHARE: Final = 0.5
 
 
 @dataclass
@@ -51,15 +51,15 @@
 
     def has_failed(self, usual_failing: float, usual_slow: float) -> bool:
         """Return whether the probes show a server still faulty, compared with its peers."""
-        most_bad = PEERS_FACTOR * usual_failing * (self.good + self.bad)
-        if self.bad >= BAD_PROBES and self.bad > most_bad:
+        most_bad = MAX_PEERS_FACTOR * usual_failing * (self.good + self.bad)
+        if self.bad >= BAD_PROBES_TO_FAIL and self.bad > most_bad:
             return True
-        most_slow = max(SLOW_SHARE, usual_slow) * self.timed
-        return self.timed >= SLOW_PROBES and self.slow > most_slow
+        most_slow = max(MAX_SLOW_SHARE, usual_slow) * self.timed
+        return self.timed >= MIN_TIMED_PROBES and self.slow > most_slow
 
     def has_passed(self, usual_failing: float, usual_slow: float) -> bool:
         """Return whether the probes show that the server is healthy."""
-        return self.good >= GOOD_PROBES and not self.has_failed(usual_failing, usual_slow)
+        return self.good >= GOOD_PROBES_TO_PASS and not self.has_failed(usual_failing, usual_slow)
 
 
 class WaitHistory:
@@ -71,13 +71,13 @@
 
     def __init__(self) -> None:
         self._rounds = 0
-        self._last_out = -FORGIVEN_SECONDS
+        self._last_wait_end = -RESET_WAIT_SECONDS
 
     def begin(self, now: float) -> float:
         """Return the seconds until probation for an ejection that begins now."""
-        if now - self._last_out > FORGIVEN_SECONDS:
+        if now - self._last_wait_end > RESET_WAIT_SECONDS:
             self._rounds = 0
-        wait = min(LONGEST_WAIT_SECONDS, FIRST_WAIT_SECONDS * 2.0**self._rounds)
+        wait = min(MAX_WAIT_SECONDS, FIRST_WAIT_SECONDS * 2.0**self._rounds)
         self._rounds += 1
-        self._last_out = now + wait
+        self._last_wait_end = now + wait
         return wait
--- a/packages/decisions/src/persimmonusher_decisions/retries.py
+++ b/packages/decisions/src/persimmonusher_decisions/retries.py
@@ -8,10 +8,10 @@
 the faults that make single requests fail, and short compared with a lasting overload."""
 SLICE_SECONDS: Final = 0.5
 """First attempts are counted in slices of this length: twenty counters, whatever the rate."""
-SLACK_USED: Final = 0.9
+SHARED_SLACK_PART: Final = 0.9
 """Part of the fleet's slack that is shared out. For a moment after an instance starts or is lost,
 instances disagree on the number of live ones."""
-LARGEST_SHARE: Final = 10.0
+MAX_SLACK_PER_INSTANCE: Final = 10.0
 """Largest slack of one instance, however few instances share the fleet's: enough for the requests
 in flight on a server that breaks."""
 
@@ -42,7 +42,7 @@
 
     def __init__(self, percent: int) -> None:
         self._share = percent / 100.0
-        self._slack = LARGEST_SHARE
+        self._slack = MAX_SLACK_PER_INSTANCE
         self._firsts: deque[FirstAttempts] = deque()
         self._further: deque[float] = deque()
 
@@ -52,7 +52,7 @@
         An instance always gets at least one attempt, or it might never retry. With more instances
         than slack, few of them meet a fault at the same moment.
         """
-        self._slack = min(LARGEST_SHARE, max(1.0, SLACK_USED * slack / instances))
+        self._slack = min(MAX_SLACK_PER_INSTANCE, max(1.0, SHARED_SLACK_PART * slack / instances))
 
     def replace_percent(self, percent: int) -> None:
         """Set the percentage; 0 turns further attempts off, the slack included."""
--- a/packages/decisions/src/persimmonusher_decisions/strikes.py
+++ b/packages/decisions/src/persimmonusher_decisions/strikes.py
@@ -22,8 +22,8 @@
     def __init__(self, strikes: int, seconds: float) -> None:
         self._strikes = strikes
         self._seconds = seconds
-        self._struck: dict[str, dict[ServerId, float]] = {}
-        self._until: dict[str, float] = {}
+        self._broken_servers: dict[str, dict[ServerId, float]] = {}
+        self._quarantined_until: dict[str, float] = {}
 
     def replace_limits(self, strikes: int, seconds: float) -> None:
         """Apply a new profile's `crash_strikes` and quarantine time."""
@@ -34,41 +34,47 @@
         """Record an instance's strikes; a success clears its fingerprint."""
         for strike in strikes:
             if strike.kind is StrikeKind.SUCCESS:
-                self._struck.pop(strike.fingerprint, None)
-                self._until.pop(strike.fingerprint, None)
+                self._broken_servers.pop(strike.fingerprint, None)
+                self._quarantined_until.pop(strike.fingerprint, None)
                 continue
-            servers = self._struck.setdefault(strike.fingerprint, {})
+            servers = self._broken_servers.setdefault(strike.fingerprint, {})
             servers[strike.server_id] = now
             if len(servers) >= self._strikes:
-                self._until[strike.fingerprint] = now + self._seconds
+                self._quarantined_until[strike.fingerprint] = now + self._seconds
 
     def list_quarantines(self, now: float) -> tuple[QuarantinedRequest, ...]:
         """List quarantined fingerprints, newest first, at most MAX_QUARANTINES_IN_SET."""
         self._forget_old(now)
-        newest = sorted(self._until.items(), key=lambda item: -item[1])[:MAX_QUARANTINES_IN_SET]
+        newest = sorted(self._quarantined_until.items(), key=lambda item: -item[1])[
+            :MAX_QUARANTINES_IN_SET
+        ]
         return tuple(
             QuarantinedRequest(
-                fingerprint, until - now, tuple(sorted(self._struck.get(fingerprint, {})))
+                fingerprint, until - now, tuple(sorted(self._broken_servers.get(fingerprint, {})))
             )
             for fingerprint, until in newest
         )
 
     def list_watched(self) -> tuple[str, ...]:
         """List the newest fingerprints with strikes that aren't quarantined, oldest first."""
-        watched = [name for name in self._struck if name not in self._until]
+        watched = [name for name in self._broken_servers if name not in self._quarantined_until]
         return tuple(watched[-MAX_QUARANTINES_IN_SET:])
 
     def has_struck(self, server_id: ServerId) -> bool:
         """Return whether a quarantined request has broken the server."""
-        return any(server_id in self._struck.get(name, {}) for name in self._until)
+        return any(
+            server_id in self._broken_servers.get(name, {}) for name in self._quarantined_until
+        )
 
     def _forget_old(self, now: float) -> None:
-        for fingerprint in [name for name, until in self._until.items() if until <= now]:
-            del self._until[fingerprint]
-            self._struck.pop(fingerprint, None)
+        for fingerprint in [
+            name for name, until in self._quarantined_until.items() if until <= now
+        ]:
+            del self._quarantined_until[fingerprint]
+            self._broken_servers.pop(fingerprint, None)
         for fingerprint in [
             name
-            for name, servers in self._struck.items()
+            for name, servers in self._broken_servers.items()
             if now - max(servers.values()) > self._seconds
         ]:
-            del self._struck[fingerprint]
+            del self._broken_servers[fingerprint]
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -5,7 +5,7 @@
 from math import ceil
 from typing import Final
 
-from persimmonusher_decisions.doubts import NEEDED
+from persimmonusher_decisions.doubts import NEEDED_REQUESTS
 from persimmonusher_decisions.notices import Notice, NoticeKind
 from persimmonusher_decisions.track import ServerTrack
 from persimmonusher_decisions.work import Dispatch, Outcome, OutcomeKind
@@ -15,29 +15,29 @@
 SUSPICIOUS_KINDS: Final = frozenset(
     {OutcomeKind.FAILURE, OutcomeKind.TIMEOUT, OutcomeKind.BROKEN, OutcomeKind.UNREACHED}
 )
-SHORTEST_TIMEOUT_SECONDS: Final = 0.5
+MIN_TIMEOUT_SECONDS: Final = 0.5
 """A timeout after less time than this doesn't count against the server: usual work takes some
 tenths of a second."""
-EARLY_SHARE: Final = 0.25
+EARLY_LATENCY_SHARE: Final = 0.25
 """A failure within this part of the usual latency counts as early, before the work was done. One in
 25 requests is that fast by itself where latency spreads by a factor of two about its median."""
-FEWEST_ANSWERS: Final = 3
+MIN_ANSWERS: Final = 3
 """Answers needed to know the usual latency; before that every failure counts as early."""
-USUAL_MEMORY: Final = 0.1
+NEWEST_LATENCY_WEIGHT: Final = 0.1
 """Weight of the newest answer in the usual latency: about ten answers make it up."""
-LONGEST_ROW: Final = 3
+MAX_SUSPICIONS_IN_ROW: Final = 3
 """Suspicions in a row up to which each doubles the duration: at most four times the first one."""
-LONGER: Final = 1.25
-SHORTER: Final = 0.95
+LENGTHENING_FACTOR: Final = 1.25
+SHORTENING_FACTOR: Final = 0.95
 """Factors on the duration of suspicions. The first applies when a server fails soon after its
 return, the second when one fails that had been healthy since. The duration settles where a fifth of
 the returns come too early: each of those costs a request, each late one leaves a healthy server
 idle."""
-LARGEST_FACTOR: Final = 4.0
+MAX_DURATION_FACTOR: Final = 4.0
 """Upper bound of the learned factor on the duration. The lower bound is 1, the profile's time:
 while the other servers have free slots, an earlier return gains nothing, and while they are busy,
 lookups bring it about."""
-SMALL_SERVICE_SHARE: Final = 0.56
+SMALL_SERVICE_SUSPECT_SHARE: Final = 0.56
 """Part of its servers up to which a small service may avoid `fewest_suspects` servers, whatever the
 floor."""
 MAX_NOTICES: Final = 256
@@ -45,7 +45,7 @@
 information."""
 
 
-def find_most_suspects(servers: int, profile: Profile) -> int:
+def find_max_suspects(servers: int, profile: Profile) -> int:
     """Return how many of a service's servers may be avoided at the same time.
 
     The more servers a service has, the closer the share of failing ones stays to its mean. Of a
@@ -54,7 +54,7 @@
     send work to two of them.
     """
     allowed = servers - ceil(servers * profile.health_floor_percent / 100)
-    largest = int(servers * SMALL_SERVICE_SHARE)
+    largest = int(servers * SMALL_SERVICE_SUSPECT_SHARE)
     return max(allowed, min(profile.fewest_suspects, largest))
 
 
@@ -96,8 +96,8 @@
     def __init__(self, service: ServiceName) -> None:
         self._service = service
         self._notices: deque[Notice] = deque(maxlen=MAX_NOTICES)
-        self._usual = 0.0
-        self._factor = 1.0
+        self._usual_latency = 0.0
+        self._duration_factor = 1.0
         """Learned factor on the profile's `suspect_ms`."""
         self._answers = 0
 
@@ -120,8 +120,8 @@
     ) -> None:
         """Record the end of an attempt: a failure counts against its server and is reported."""
         kind = outcome.kind
-        hasty = kind is OutcomeKind.TIMEOUT and outcome.latency < SHORTEST_TIMEOUT_SECONDS
-        if kind not in SUSPICIOUS_KINDS or hasty:
+        is_short_timeout = kind is OutcomeKind.TIMEOUT and outcome.latency < MIN_TIMEOUT_SECONDS
+        if kind not in SUSPICIOUS_KINDS or is_short_timeout:
             return
         notice = Notice(
             self._classify(outcome),
@@ -141,14 +141,14 @@
     def _learn_duration(self, track: ServerTrack, in_a_row: bool) -> None:
         """Adapt the duration of suspicions to how long faults last in this service."""
         if track.suspicions:
-            factor = self._factor * (LONGER if in_a_row else SHORTER)
-            self._factor = min(LARGEST_FACTOR, max(1.0, factor))
+            factor = self._duration_factor * (LENGTHENING_FACTOR if in_a_row else SHORTENING_FACTOR)
+            self._duration_factor = min(MAX_DURATION_FACTOR, max(1.0, factor))
 
     def record_answer(self, dispatch: Dispatch, track: ServerTrack, now: float) -> None:
         """Record a successful answer: its latency, and that a suspected server may be healthy."""
         latency = now - dispatch.started
         if track.is_suspected(now) and track.suspected_at < dispatch.started:
-            self._restore(track, dispatch.request.request_id, now)
+            self._record_recovery(track, dispatch.request.request_id, now)
             self._notices.append(
                 Notice(
                     NoticeKind.RECOVERED,
@@ -160,8 +160,8 @@
                 )
             )
         self._answers += 1
-        weight = max(USUAL_MEMORY, 1.0 / self._answers)
-        self._usual += weight * (latency - self._usual)
+        weight = max(NEWEST_LATENCY_WEIGHT, 1.0 / self._answers)
+        self._usual_latency += weight * (latency - self._usual_latency)
 
     def take(
         self,
@@ -174,8 +174,10 @@
         """Apply a notice of this or another instance; return whether the server's use changes."""
         if notice.kind is NoticeKind.RECOVERED:
             proves = track.is_suspected(now) and track.suspected_at < now - notice.seconds
-            return proves and self._restore(track, notice.request_id, now)
-        if notice.kind in NEEDED and not track.doubts.add(notice.kind, notice.request_id, now):
+            return proves and self._record_recovery(track, notice.request_id, now)
+        if notice.kind in NEEDED_REQUESTS and not track.doubts.add(
+            notice.kind, notice.request_id, now
+        ):
             return False
         return self.suspect(track, tracks, profile, now)
 
@@ -189,18 +191,18 @@
         if not profile.suspect_ms:
             return False
         is_news = not track.is_passed_by(now)
-        seconds = self._factor * profile.suspect_ms / 1000.0
+        seconds = self._duration_factor * profile.suspect_ms / 1000.0
         if not track.is_suspected(now):
             in_a_row = now - track.suspect_until < seconds
             self._learn_duration(track, in_a_row)
-            track.suspicions = min(LONGEST_ROW, track.suspicions + 1) if in_a_row else 1
+            track.suspicions = min(MAX_SUSPICIONS_IN_ROW, track.suspicions + 1) if in_a_row else 1
         track.doubts.forget(NoticeKind.RECOVERED)
         track.suspected_at = now
-        longest = LARGEST_FACTOR * profile.suspect_ms / 1000.0
+        longest = MAX_DURATION_FACTOR * profile.suspect_ms / 1000.0
         track.suspect_until = now + min(longest, seconds * 2 ** (track.suspicions - 1))
         track.spared = False
         suspected = [item for item in tracks if item.is_passed_by(now)]
-        allowed = find_most_suspects(len(tracks), profile)
+        allowed = find_max_suspects(len(tracks), profile)
         if len(suspected) > allowed:
             suspected.sort(key=lambda item: item.suspected_at)
             for item in suspected[: len(suspected) - allowed]:
@@ -208,7 +210,7 @@
         return is_news
 
     @staticmethod
-    def _restore(track: ServerTrack, request_id: RequestId, now: float) -> bool:
+    def _record_recovery(track: ServerTrack, request_id: RequestId, now: float) -> bool:
         """Record a successful lookup; return whether it ends the suspicion of its server."""
         proved = track.doubts.add(NoticeKind.RECOVERED, request_id, now)
         if proved:
@@ -220,8 +222,8 @@
             return NoticeKind.CRASHED
         if outcome.kind is OutcomeKind.UNREACHED:
             return NoticeKind.UNREACHED
-        is_known = self._answers >= FEWEST_ANSWERS
-        late = is_known and outcome.latency > EARLY_SHARE * self._usual
+        is_known = self._answers >= MIN_ANSWERS
+        late = is_known and outcome.latency > EARLY_LATENCY_SHARE * self._usual_latency
         if outcome.kind is OutcomeKind.FAILURE and late:
             return NoticeKind.FAILED_LATE
         return NoticeKind.FAILED
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -24,7 +24,7 @@
 from persimmonusher_decisions.learning import OutcomeLearning
 from persimmonusher_decisions.locality import Locality
 from persimmonusher_decisions.notices import Notice, NoticeKind
-from persimmonusher_decisions.placement import PROVING_SHARE, Placement
+from persimmonusher_decisions.placement import PROVING_DELAY_SHARE, Placement
 from persimmonusher_decisions.quarantine import Quarantine
 from persimmonusher_decisions.rate_limits import RateLimits
 from persimmonusher_decisions.retries import RetryBudget
@@ -47,8 +47,8 @@
 
 NO_SERVICE: Final = ServiceName("")
 NO_INSTANCE: Final = InstanceId("")
-NO_SERVER_RETRY_AFTER: Final = 1.0
-PROBES_A_SECOND: Final = 16.0
+NO_SERVER_RETRY_AFTER_SECONDS: Final = 1.0
+PROBES_PER_SECOND: Final = 16.0
 """Probes per second of one server on probation, from all instances together."""
 
 
@@ -169,7 +169,7 @@
         if seconds_left:
             return Refusal(request, RefusalReason.QUARANTINED, seconds_left)
         if not self._tracks:
-            return Refusal(request, RefusalReason.NO_SERVER, NO_SERVER_RETRY_AFTER)
+            return Refusal(request, RefusalReason.NO_SERVER, NO_SERVER_RETRY_AFTER_SECONDS)
         usual = self._evidence.find_usual_latency(request.request_class)
         if now + usual > request.deadline:
             return self._admission.refuse(request, RefusalReason.DEADLINE, now)
@@ -178,7 +178,7 @@
             if dispatch is not None:
                 return dispatch
             if not self._placement.open_slots:
-                return Refusal(request, RefusalReason.NO_SERVER, NO_SERVER_RETRY_AFTER)
+                return Refusal(request, RefusalReason.NO_SERVER, NO_SERVER_RETRY_AFTER_SECONDS)
         refusal = self._refuse_closed(request, usual, now)
         if refusal is not None:
             return refusal
@@ -343,7 +343,7 @@
                 decision = self._dispatcher.place(request, 1, None, now)
             if decision is None:
                 reason = RefusalReason.NO_SERVER
-                decision = Refusal(request, reason, NO_SERVER_RETRY_AFTER)
+                decision = Refusal(request, reason, NO_SERVER_RETRY_AFTER_SECONDS)
             released.append(decision)
         return tuple(released)
 
@@ -395,7 +395,7 @@
         self._lease.mark(tracks, self._profile.health_floor_percent, now)
         self._share_connections()
         self._placement.far_load = self._locality.far_load
-        self._placement.probe_seconds = self._live / PROBES_A_SECOND
+        self._placement.probe_seconds = self._live / PROBES_PER_SECOND
         self._placement.replace(tracks, now)
         self._window.resize(
             self._placement.open_slots, self._live, self._profile.fewest_in_progress
@@ -403,7 +403,7 @@
 
     def _set_limits(self) -> None:
         self._placement.ramp_seconds = self._profile.ramp_ms / 1000.0
-        self._placement.proving_seconds = PROVING_SHARE * self._profile.suspect_ms / 1000.0
+        self._placement.proving_seconds = PROVING_DELAY_SHARE * self._profile.suspect_ms / 1000.0
         self._retries.share_slack(self._profile.retry_slack, self._live)
 
     def _share_connections(self) -> None:
--- a/packages/decisions/src/persimmonusher_decisions/window.py
+++ b/packages/decisions/src/persimmonusher_decisions/window.py
@@ -4,25 +4,25 @@
 
 from persimmonusher_model.identifiers import ServerId
 
-LOW_PRESSURE: Final = 1.5
+LOW_LOAD_PER_SLOT: Final = 1.5
 """Reported load per slot below which the servers' queues are short."""
-HIGH_PRESSURE: Final = 2.5
+HIGH_LOAD_PER_SLOT: Final = 2.5
 """Reported load per slot above which additional requests only wait at the servers."""
-LARGEST_REPORT: Final = 4.0
-PRESSURE_MEMORY: Final = 0.1
+MAX_REPORTED_LOAD_PER_SLOT: Final = 4.0
+NEWEST_REPORT_WEIGHT: Final = 0.1
 """Weight of the newest report in the moving average of reported loads. About ten answers make it
 up, so that one server's wrong reports can't move it far."""
-SHRINK_SECONDS: Final = 0.05
+SHRINK_INTERVAL_SECONDS: Final = 0.05
 """Shortest time between two reductions of the limit: about one round of answers under overload."""
-SHRINK_ON_PRESSURE: Final = 0.9
-SHRINK_ON_REFUSAL: Final = 0.8
-ALONE_SECONDS: Final = 1.0
+SHRINK_FACTOR_ON_LOAD: Final = 0.9
+SHRINK_FACTOR_ON_REFUSAL: Final = 0.8
+REFUSAL_WINDOW_SECONDS: Final = 1.0
 """Refusals by a single server mean that this server is failing, or bad luck. The service counts as
 full only if another server refused within this time."""
-FULL: Final = 1.0
+FULL_LOAD_PER_SLOT: Final = 1.0
 """Known load per slot below which a refusal can't mean that the server is full. Only this failure
 domain's part of the load may be known, and a full server has several times its slots waiting."""
-LARGEST_SHARE: Final = 2.0
+MAX_LIMIT_PER_SLOT: Final = 2.0
 """Upper bound of the limit, in multiples of the service's slots: the most that a single instance
 can need."""
 
@@ -42,9 +42,9 @@
         self._smallest = 1.0
         self._largest = 2.0
         self._limit = 2.0
-        self._sized = False
-        self._pressure: float | None = None
-        self._shrink_at = 0.0
+        self._is_sized = False
+        self._average_load: float | None = None
+        self._may_shrink_at = 0.0
         self._refused_by: ServerId | None = None
         self._refused_at = 0.0
 
@@ -61,23 +61,27 @@
         """
         equal_part = slots / max(1, live)
         self._smallest = max(1.0, equal_part, min(fewest, slots))
-        self._largest = max(2.0, LARGEST_SHARE * slots)
-        if not self._sized:
-            self._sized = slots > 0
+        self._largest = max(2.0, MAX_LIMIT_PER_SLOT * slots)
+        if not self._is_sized:
+            self._is_sized = slots > 0
             self._limit = 2.0 * self._smallest
         self._limit = min(self._largest, max(self._smallest, self._limit))
 
     def record_answer(self, load_for_each_slot: float | None, in_progress: int, now: float) -> None:
         """Adapt the limit to an answer; the load is None if the server reported none."""
         if load_for_each_slot is not None:
-            report = min(LARGEST_REPORT, load_for_each_slot)
-            last = report if self._pressure is None else self._pressure
-            self._pressure = last + PRESSURE_MEMORY * (report - last)
-        pressure = self._pressure
-        if pressure is not None and pressure > HIGH_PRESSURE:
-            self._shrink(SHRINK_ON_PRESSURE, now)
+            report = min(MAX_REPORTED_LOAD_PER_SLOT, load_for_each_slot)
+            last = report if self._average_load is None else self._average_load
+            self._average_load = last + NEWEST_REPORT_WEIGHT * (report - last)
+        average_load = self._average_load
+        if average_load is not None and average_load > HIGH_LOAD_PER_SLOT:
+            self._shrink(SHRINK_FACTOR_ON_LOAD, now)
         elif in_progress + 1 >= self._limit:
-            step = 1.0 if pressure is not None and pressure < LOW_PRESSURE else 1.0 / self._limit
+            step = (
+                1.0
+                if average_load is not None and average_load < LOW_LOAD_PER_SLOT
+                else 1.0 / self._limit
+            )
             self._limit = min(self._largest, self._limit + step)
 
     def record_refusal(self, server_id: ServerId, known_load: float, now: float) -> None:
@@ -87,15 +91,15 @@
         each such refusal shrank the limit, requests would wait here for no reason for seconds after
         the servers have recovered: up to 0.95 s, on instances whose callers arrive in bursts.
         """
-        if known_load < FULL:
+        if known_load < FULL_LOAD_PER_SLOT:
             return
         former, self._refused_by, at = self._refused_by, server_id, self._refused_at
         self._refused_at = now
-        if former not in (None, server_id) and now - at <= ALONE_SECONDS:
-            self._shrink(SHRINK_ON_REFUSAL, now)
+        if former not in (None, server_id) and now - at <= REFUSAL_WINDOW_SECONDS:
+            self._shrink(SHRINK_FACTOR_ON_REFUSAL, now)
 
     def _shrink(self, factor: float, now: float) -> None:
-        if now < self._shrink_at:
+        if now < self._may_shrink_at:
             return
-        self._shrink_at = now + SHRINK_SECONDS
+        self._may_shrink_at = now + SHRINK_INTERVAL_SECONDS
         self._limit = max(self._smallest, self._limit * factor)
--- a/packages/decisions/tests/ablation.py
+++ b/packages/decisions/tests/ablation.py
@@ -1,8 +1,8 @@
-"""What each mechanism is worth: the same loads with one of them switched off at a time.
+"""Shows the effect of each mechanism: the same loads with one mechanism switched off at a time.
 
-Run it by hand, `python ablation.py [SEEDS]` with the packages on the path; it prints a table of the
-share of requests that weren't served, and of those answered within a second, with the smallest and
-largest of the seeds. It is no test: what must hold stands in test_suspicion and test_heavy_load.
+Run it by hand, `python ablation.py [SEEDS]`, with the packages on the path. It prints a table with
+the share of requests that weren't served and the share answered within a second: mean, smallest and
+largest over the seeds. It isn't a test; test_suspicion and test_heavy_load assert the requirements.
 """
 
 import sys
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Ablation:
-    """One mechanism and how it is switched off."""
+    """A mechanism, and the profile changes and patches that switch it off."""
 
     name: str
     profile: dict[str, Any] = field(default_factory=dict)
@@ -60,18 +60,18 @@
 
 
 def take_trusted(self: Any, servers: Any, now: float) -> Any:
-    """Compare servers that the floor spares like all others."""
+    """Replace `_pick_unsuspected`: suspected servers that the floor keeps in use are included."""
     trusted = [track for track in servers if not track.is_passed_by(now)]
-    return self._random.sample(trusted, min(placement.COMPARED, len(trusted)))
+    return self._random.sample(trusted, min(placement.COMPARED_SERVERS, len(trusted)))
 
 
 def find_nothing(*arguments: Any) -> list[Any]:
-    """Find nothing."""
+    """Replace a method that returns a list, with an empty result."""
     return []
 
 
 def ignore(*arguments: Any) -> None:
-    """Do nothing."""
+    """Replace a method without a result."""
 
 
 ABLATIONS = (
@@ -80,16 +80,21 @@
     Ablation("notices to others", patches=((ServiceTraffic, "apply_notice", ignore),)),
     Ablation(
         "doubt for late failures",
-        patches=((doubts, "NEEDED", {**doubts.NEEDED, NoticeKind.FAILED_LATE: 1}),),
+        patches=(
+            (doubts, "NEEDED_REQUESTS", {**doubts.NEEDED_REQUESTS, NoticeKind.FAILED_LATE: 1}),
+        ),
     ),
-    Ablation("longer in a row", patches=((suspicion, "LONGEST_ROW", 1),)),
-    Ablation("learned time", patches=((suspicion, "LONGER", 1.0), (suspicion, "SHORTER", 1.0))),
-    Ablation("relief of crowded servers", patches=((placement, "CROWDED", inf),)),
-    Ablation("lookups prove servers", patches=((placement, "PROVING_SHARE", inf),)),
+    Ablation("longer in a row", patches=((suspicion, "MAX_SUSPICIONS_IN_ROW", 1),)),
     Ablation(
-        "spared servers last", patches=((placement.Placement, "_take_unsuspected", take_trusted),)
+        "learned time",
+        patches=((suspicion, "LENGTHENING_FACTOR", 1.0), (suspicion, "SHORTENING_FACTOR", 1.0)),
     ),
-    Ablation("two compared", patches=((placement, "COMPARED", 16),)),
+    Ablation("relief of crowded servers", patches=((placement, "CROWDED_LOAD_PER_SLOT", inf),)),
+    Ablation("lookups prove servers", patches=((placement, "PROVING_DELAY_SHARE", inf),)),
+    Ablation(
+        "spared servers last", patches=((placement.Placement, "_pick_unsuspected", take_trusted),)
+    ),
+    Ablation("two compared", patches=((placement, "COMPARED_SERVERS", 16),)),
     Ablation("floor", {"health_floor_percent": 0}),
     Ablation("overdue requests", patches=((EvidenceLog, "take_overdue", find_nothing),)),
     Ablation("shared loads", patches=((ServiceTraffic, "apply_loads", ignore),)),
@@ -101,17 +106,17 @@
 
 @contextmanager
 def switch_off(ablation: Ablation) -> Iterator[None]:
-    """Have one mechanism off."""
+    """Switch a mechanism off in this context."""
     with ExitStack() as stack:
         for target, name, value in ablation.patches:
             stack.enter_context(patch.object(target, name, value))
-        if any(name == "PROVING_SHARE" for _, name, _ in ablation.patches):
-            stack.enter_context(patch.object(traffic, "PROVING_SHARE", inf))
+        if any(name == "PROVING_DELAY_SHARE" for _, name, _ in ablation.patches):
+            stack.enter_context(patch.object(traffic, "PROVING_DELAY_SHARE", inf))
         yield
 
 
 def play(job: tuple[Load, int, int]) -> tuple[float, float]:
-    """Return the shares of requests that weren't served, and that were answered in a second."""
+    """Run one simulation; return the shares of requests not served, and answered in a second."""
     load, number, seed = job
     ablation = ABLATIONS[number]
     with switch_off(ablation):
@@ -120,12 +125,12 @@
 
 
 def describe(values: list[float]) -> str:
-    """Return the mean and the spread in percent."""
+    """Return the mean, the smallest and the largest value, in percent."""
     return f"{100 * mean(values):.1f} ({100 * min(values):.1f} to {100 * max(values):.1f})"
 
 
 def print_table(seeds: int, write: Callable[[str], object] = print) -> None:
-    """Play all loads without each mechanism and print the table."""
+    """Run all loads without each mechanism and print the table."""
     with ProcessPoolExecutor(3) as pool:
         for title, load in LOADS.items():
             write(f"\n| {title}: off | not served, % | within 1 s, % |\n| --- | --- | --- |")
--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -1,4 +1,4 @@
-"""Many instances before servers that ask for less work, in virtual time."""
+"""Simulates, in virtual time, instances with servers that ask for limits or rests, or leave."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """The fleet, and what callers ask of it."""
+    """The size of the fleet, its load, and its disturbances."""
 
     instances: int = 36
     servers: int = 10
@@ -32,16 +32,16 @@
     """At each instance."""
     burst_at: float = float("inf")
     burst_factor: float = 1.0
-    """Times as many requests from that second on."""
+    """Factor on the request rate from `burst_at` on."""
     seconds: float = 20.0
     lost_share: float = 0.0
-    """Part of the notices that don't arrive."""
+    """Part of the notices that are lost, at each receiver independently."""
     cut_share: float = 0.0
-    """Part of the instances that hear of no notice at all."""
+    """Part of the instances that receive no notices at all."""
     counted_share: float = 1.0
-    """Part of the instances that all know of, from second 6 on."""
+    """Part of the instances that each instance counts as live, from second 6 on."""
     disturbances: int = 0
-    """Restarts and freezes of instances over the whole time."""
+    """Number of restarts and freezes of instances, at random times."""
 
 
 @dataclass
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """A refusal that asked an instance for rest, and when the instance had it."""
+    """A refusal that asked an instance for rest; `at` is when the instance received it."""
 
     server_id: ServerId
     instance: int
@@ -65,23 +65,23 @@
 
 @dataclass
 class Seen:
-    """What servers and callers saw."""
+    """The events that servers, instances and callers saw."""
 
     arrivals: list[Arrival] = field(default_factory=list)
     told: dict[ServerId, dict[int, float]] = field(default_factory=dict)
-    """When each instance first had an answer of a server that asks for something."""
+    """When each instance first received an answer by which the server asks for something."""
     rests: list[Rest] = field(default_factory=list)
     disturbed: set[int] = field(default_factory=set)
-    """Instances that were restarted or frozen, which are excused."""
+    """Instances that were restarted or frozen; assertions leave them out."""
     refused: int = 0
     served: int = 0
 
     def list_arrivals(self, server_id: ServerId) -> list[Arrival]:
-        """List what reached a server."""
+        """List the requests that reached a server."""
         return [arrival for arrival in self.arrivals if arrival.server_id == server_id]
 
     def list_told_arrivals(self, server_id: ServerId, told_seconds: float) -> list[Arrival]:
-        """List what reached a server from instances told by it so long before or earlier."""
+        """List the requests from instances that had the server's answer `told_seconds` before."""
         told = self.told.get(server_id, {})
         never = float("inf")
         return [
@@ -93,7 +93,7 @@
 
 
 class AskingServers:
-    """Instances' decisions before servers; `advise` says what a server's answers ask for."""
+    """Runs the decisions of all instances; `advise` returns what a server's answers ask for."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
         return traffic
 
     def run(self) -> Seen:
-        """Play the scene."""
+        """Run the simulation to its end."""
         for _ in range(self._scene.disturbances):
             self._after(self._random.uniform(0.0, self._scene.seconds), self._disturb)
         self._after(0.0, self._arrive)
@@ -160,7 +160,7 @@
         self._follow(index, self._instances[index].offer(request, self._now))
 
     def _disturb(self) -> None:
-        """Restart an instance, or freeze it for some seconds; what it was told binds no more."""
+        """Restart an instance or freeze it for some seconds, and mark it as disturbed."""
         index = self._random.randrange(self._scene.instances)
         self.seen.disturbed.add(index)
         if self._random.random() < 0.5:
@@ -177,7 +177,7 @@
     def _reach(self, index: int, dispatch: Dispatch) -> None:
         server_id = dispatch.server.server_id
         self.seen.arrivals.append(Arrival(server_id, index, self._now))
-        # A request in fifty fails, and is sent again where it may be.
+        # One request in fifty fails, and is retried if it is idempotent.
         kind = OutcomeKind.FAILURE if self._random.random() < 0.02 else OutcomeKind.SUCCESS
         advice = self._advise(server_id, self._now + WORK_SECONDS)
         if advice.rest_seconds:
--- a/packages/decisions/tests/decisions_helpers.py
+++ b/packages/decisions/tests/decisions_helpers.py
@@ -93,7 +93,7 @@
 
 
 class Watch:
-    """Feeds an assessor with slices of evidence: (failed, slow) of ten answers by server."""
+    """Feeds an assessor with slices of evidence: (failed, slow) counts of ten answers by server."""
 
     def __init__(self, profile: Profile = DETECTION_FIRST, servers: int = 10) -> None:
         self.assessor = Assessor(SERVICE, profile, InstanceId("a"), 1)
--- a/packages/decisions/tests/fleet_simulation.py
+++ b/packages/decisions/tests/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Entry instances and backend servers of one service in virtual time, for tests of decisions."""
+"""Simulates the entry instances and backend servers of one service in virtual time."""
 
 from collections import Counter, deque
 from collections.abc import Callable
@@ -25,12 +25,12 @@
 NOTICE_SECONDS = 0.004
 LOAD_SECONDS = 0.4
 QUEUE = 16
-"""Requests that wait at a server beyond its slots before it refuses more."""
+"""Requests that a server queues beyond its slots before it refuses more."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """What callers ask and how servers ail."""
+    """The fleet, the callers' demand, and the servers' faults."""
 
     instances: int = 48
     domains: int = 4
@@ -42,41 +42,42 @@
     idempotent_share: float = 0.0
     seconds: float = 40.0
     burst_factor: float = 1.0
-    """Times as many requests for the first `burst_seconds` of every `burst_every`."""
+    """Factor on the request rate in the first `burst_seconds` of every `burst_every` seconds."""
     burst_every: float = 10.0
     burst_seconds: float = 3.0
     ill_every: float = 9.0
-    """Each server is ill for the first `ill_seconds` of such a time, at a phase of its own."""
+    """Period in seconds: each server is faulty for the first `ill_seconds` of its periods, which
+    start at a random phase."""
     ill_seconds: float = 2.7
     ill_chance: float = 1.0
-    """Chance of each such time to bring an illness."""
+    """Probability that a server is faulty in a period."""
     ill_share: float = 0.75
-    """Part of the requests that an ill server fails at once."""
+    """Part of the requests that a faulty server fails at once."""
     shed_share: float = 0.0
     """Part of the requests that every server refuses, from `shed_from` on for `shed_seconds`."""
     shed_from: float = 10.0
     shed_seconds: float = 8.5
     returns: int = 0
-    """How often a caller that is refused as not run comes back when it was told to."""
+    """How often a caller retries, after the given retry-after, when refused as not run."""
     patience: float = 6.0
-    """Seconds that a caller waits in all."""
+    """Seconds that a caller waits in total."""
     unlucky_share: float = 0.012
-    """Part of the requests that fail by themselves, after their work."""
+    """Part of the requests that fail without a server fault, after their work."""
 
     def is_shed(self, now: float, random: Random) -> bool:
-        """Tell whether a server refuses a request that reaches it now."""
+        """Return whether a server refuses a request that reaches it now; draws a random number."""
         shedding = self.shed_from <= now < self.shed_from + self.shed_seconds
         return shedding and random.random() < self.shed_share
 
     def find_rate(self, now: float) -> float:
-        """Return requests a second at a moment."""
+        """Return the requests per second at a time."""
         in_burst = now % self.burst_every < self.burst_seconds
         return self.requests_a_second * (self.burst_factor if in_burst else 1.0)
 
 
 @dataclass
 class Served:
-    """What callers got."""
+    """How the callers' requests ended, and the latencies of the successful ones."""
 
     ends: Counter[str] = field(default_factory=Counter)
     seconds: list[float] = field(default_factory=list)
@@ -88,18 +89,18 @@
         return 1.0 - self.ends["success"] / sum(self.ends.values())
 
     def find_share_within(self, seconds: float) -> float:
-        """Return the part of all requests that were served within so many seconds."""
+        """Return the part of all requests that were served within `seconds`."""
         return sum(taken <= seconds for taken in self.seconds) / sum(self.ends.values())
 
     def find_quantile(self, share: float) -> float:
-        """Return a quantile of the time to a good answer, in seconds."""
+        """Return a quantile of the latency of successful requests, in seconds."""
         ordered = sorted(self.seconds)
         return ordered[int(share * (len(ordered) - 1))]
 
 
 @dataclass
 class Caller:
-    """Who waits for an answer, over all its tries."""
+    """A caller that waits for one answer, over all its tries."""
 
     arrived: float
     idempotent: bool
@@ -107,7 +108,7 @@
 
 
 class SimulatedServer:
-    """Slots, a queue, and spells of illness."""
+    """A server with slots, a queue, and recurring faults."""
 
     def __init__(self, load: Load, random: Random) -> None:
         self._load = load
@@ -118,7 +119,7 @@
         self.waiting: deque[Callable[[], None]] = deque()
 
     def is_ill(self, now: float) -> bool:
-        """Tell whether the server fails work at this moment."""
+        """Return whether the server is faulty at this time."""
         load = self._load
         number, moment = divmod(now + self._phase, load.ill_every)
         while len(self._draws) <= number:
@@ -127,7 +128,7 @@
 
 
 class FleetSimulation:
-    """All instances' decisions for one service against the same servers."""
+    """Runs the decisions of all instances for one service with the same servers."""
 
     def __init__(self, load: Load, profile: Profile, seed: int = 3) -> None:
         self._load = load
@@ -161,7 +162,7 @@
             instance.replace_servers(announced, 0.0)
 
     def run(self) -> Served:
-        """Play the load and return what callers got."""
+        """Run the simulation and return how the requests ended."""
         self._after(0.0, self._arrive)
         self._after(LOAD_SECONDS, self._share_loads)
         while self._events:
@@ -189,7 +190,7 @@
         self._follow(instance, instance.offer(request, self._now))
 
     def _refuse(self, refusal: Refusal) -> None:
-        """Let the caller come back, at any instance, when it is told to and has time left."""
+        """Have the caller retry after `retry_after`, at any instance, if it has time left."""
         caller = self._callers[refusal.request.request_id]
         back = self._now + refusal.retry_after
         caller.returns += 1
--- a/packages/decisions/tests/heavy_loads.py
+++ b/packages/decisions/tests/heavy_loads.py
@@ -1,4 +1,4 @@
-"""The profile and the load that tests and the ablation share."""
+"""The profile and the load that several tests and ablation.py use."""
 
 from fleet_simulation import Load
 
@@ -25,4 +25,4 @@
     ill_share=0.9,
     seconds=20.0,
 )
-"""Two purchases for each lookup at two fifths of the slots; a third of the servers ill."""
+"""Two purchases for each lookup, at two fifths of the slots, with a third of the servers faulty."""
--- a/packages/decisions/tests/test_asking_series.py
+++ b/packages/decisions/tests/test_asking_series.py
@@ -1,6 +1,6 @@
-"""Seeded series of servers that name limits, ask for rest and leave, with disturbed instances.
+"""Seeded simulations of servers that name limits, ask for rest or leave, with disturbed instances.
 
-Other seeds by hand: `ASKING_SEEDS="20 21 22"` in the environment of the test run.
+To run other seeds, set `ASKING_SEEDS="20 21 22"` in the environment of the test run.
 """
 
 import os
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Wish:
-    """What a server asks for over a time."""
+    """What a server asks for between two times."""
 
     server_id: ServerId
     begin: float
@@ -35,12 +35,12 @@
     advice: ServerAdvice
 
     def holds(self, server_id: ServerId, now: float) -> bool:
-        """Tell whether a server's answers say so at a moment."""
+        """Return whether this server's answers ask for it at this time."""
         return server_id == self.server_id and self.begin <= now < self.end
 
 
 def draw_wishes(random: Random, servers: int) -> list[Wish]:
-    """Draw one server that leaves and, for each other one, a time of a limit or of rests."""
+    """Draw a leaving for server 0 and, for each other server, a period with a limit or rests."""
     wishes = []
     for index in range(servers):
         begin = random.uniform(2.0, 20.0)
@@ -95,7 +95,7 @@
         late = seen.list_told_arrivals(wish.server_id, DRAIN_SECONDS)
         self.assertEqual(late, [], wish)
 
-    # Guards against any word of a server being passed by while instances restart and hear nothing.
+    # Guards against limits, rests or leaving being ignored while instances restart or miss notices.
     def test_what_servers_ask_for_is_kept_in_seeded_series(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
--- a/packages/decisions/tests/test_assessor.py
+++ b/packages/decisions/tests/test_assessor.py
@@ -36,10 +36,11 @@
 
 
 class OneWayCutTest(unittest.TestCase):
-    """Answers of one server don't reach the instances of one failure domain.
+    """Guards against ejecting a server everywhere for a network cut to one failure domain.
 
-    Callers whose balancer picks an instance in that domain see timeouts; all others are served
-    well. Ejected everywhere, the server's capacity would be lost to those it serves.
+    The answers of one server don't reach the instances of one domain. Callers of those instances
+    see timeouts, while all others are served. If the server were ejected everywhere, its capacity
+    would be lost to those that it serves.
     """
 
     def test_only_the_domain_that_sees_it_ejects(self) -> None:
@@ -58,10 +59,11 @@
 
 
 class CommonCauseTest(unittest.TestCase):
-    """A shared dependency fails a third of all work, on every server at the same moment.
+    """Guards against ejecting servers for the fault of a shared dependency.
 
-    Operators would see servers ejected one after the other while the failures follow the work. It
-    begins on some servers first, as their requests reach the dependency earlier.
+    The dependency fails a third of all work, on every server. The failures begin on some servers
+    first, as their requests reach the dependency earlier. Operators would see servers ejected one
+    after the other while the failures follow the work to the others.
     """
 
     def test_nobody_is_ejected_and_the_note_says_why(self) -> None:
--- a/packages/decisions/tests/test_fanout.py
+++ b/packages/decisions/tests/test_fanout.py
@@ -1,17 +1,17 @@
-"""Load: dozens of followers of one keeper, while servers fall ill one after the other."""
+"""Pacing with dozens of followers of one keeper, while servers fail one after the other."""
 
 import unittest
 
 from persimmonusher_decisions.fanout import (
-    LONGEST_JOIN_SECONDS,
-    MESSAGES_A_SECOND,
+    MAX_BATCH_SECONDS,
+    MESSAGES_PER_SECOND,
     CallPace,
     FanoutPace,
 )
 
 
 def play(followers: int, notices_a_second: int, seconds: float) -> tuple[int, float]:
-    """Return the rounds that go out, and the longest that a notice waits for its round."""
+    """Return the number of rounds sent, and the longest wait of a notice for its round."""
     pace = FanoutPace()
     rounds, longest, due = 0, 0.0, None
     for number in range(int(notices_a_second * seconds)):
@@ -28,22 +28,22 @@
 
 class FanoutPaceTest(unittest.TestCase):
     def test_messages_do_not_grow_as_followers_times_notices(self) -> None:
-        """A keeper of a large fleet is told of dozens of failures a second.
+        """Guards against a keeper that is overloaded by dozens of notices of failures per second.
 
-        One message for each failure and follower kept its loop busy; its entries lost it, joined
-        again, and cost it more, until no entry had a configuration any more.
+        With one message for each failure and follower its event loop stays busy; its entries lose
+        it and join again, which costs it more, until no entry has a configuration.
         """
         for followers in (12, 58, 98, 190):
             for notices in (8, 30, 300):
                 with self.subTest(followers=followers, notices=notices):
                     rounds, _ = play(followers, notices, 20.0)
-                    self.assertLessEqual(rounds * followers / 20.0, MESSAGES_A_SECOND + followers)
+                    self.assertLessEqual(rounds * followers / 20.0, MESSAGES_PER_SECOND + followers)
 
     def test_a_notice_waits_for_a_fraction_of_a_second_at_most(self) -> None:
         for followers in (1, 12, 58, 98, 1_000):
             with self.subTest(followers=followers):
                 _, longest = play(followers, 300, 20.0)
-                self.assertLessEqual(longest, LONGEST_JOIN_SECONDS + 1e-9)
+                self.assertLessEqual(longest, MAX_BATCH_SECONDS + 1e-9)
 
     def test_the_first_word_after_a_quiet_moment_goes_at_once(self) -> None:
         pace = FanoutPace()
@@ -55,7 +55,7 @@
 
 class CallPaceTest(unittest.TestCase):
     def test_a_few_notices_a_second_never_wait(self) -> None:
-        """A small fleet: a server fails, and three entries tell of it within 20 ms, each second."""
+        """A small fleet: each second a server fails, and three entries report it within 20 ms."""
         pace = CallPace(10.0, 4)
         for second in range(20):
             for number in range(3):
--- a/packages/decisions/tests/test_floor.py
+++ b/packages/decisions/tests/test_floor.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from persimmonusher_decisions.floor import Candidate, keep_floor
+from persimmonusher_decisions.floor import Candidate, apply_floor
 from persimmonusher_model.identifiers import ServerId
 from persimmonusher_model.profile import Profile
 
@@ -17,7 +17,7 @@
     ) -> None:
         slots = {ServerId(f"s{index}"): size for index, size in enumerate(sizes)}
         named = data.draw(st.lists(st.sampled_from([*slots, ServerId("gone")]), unique=True))
-        verdict = keep_floor([Candidate(name, 1.0) for name in named], slots, floor)
+        verdict = apply_floor([Candidate(name, 1.0) for name in named], slots, floor)
         left = sum(size for name, size in slots.items() if name not in verdict.out)
         self.assertGreaterEqual(100 * left, floor * sum(sizes))
         self.assertGreater(len(slots), len(verdict.out))
@@ -25,16 +25,15 @@
     def test_strongest_evidence_goes_first(self) -> None:
         slots = {ServerId(f"s{index}"): 4 for index in range(4)}
         candidates = [Candidate(ServerId("s1"), 1.0), Candidate(ServerId("s2"), 1.4)]
-        verdict = keep_floor(candidates, slots, 75)
+        verdict = apply_floor(candidates, slots, 75)
         self.assertEqual((verdict.out, verdict.held_back), (("s2",), ("s1",)))
 
 
 class TwoAssessorsTest(unittest.TestCase):
-    """Two instances act as the assessor of one service, each within the floor of 60%.
+    """Guards against two assessors of one service that together violate the floor of 60%.
 
-    A caller would see too few servers left. First assessor a ejects s0 and s1, then b, which the
-    membership of some instances names, ejects s2 and s3. Each set alone keeps the floor, both
-    together leave 2 of 6 servers.
+    While instances disagree on membership, assessor a ejects s0 and s1, then assessor b ejects s2
+    and s3. Each set alone respects the floor; both together would leave 2 of 6 servers.
     """
 
     def setUp(self) -> None:
--- a/packages/decisions/tests/test_heavy_load.py
+++ b/packages/decisions/tests/test_heavy_load.py
@@ -1,4 +1,4 @@
-"""Heavy days in virtual time: what callers get while servers shed, ail, or can't be reached."""
+"""Service quality in virtual time while servers shed load, are faulty, or can't be reached."""
 
 import unittest
 from dataclasses import replace
@@ -9,7 +9,7 @@
 from heavy_loads import LOOKUPS_AND_PURCHASES, PROFILE
 
 from persimmonusher_decisions import placement
-from persimmonusher_decisions.admission import SHORTEST_RETRY_AFTER, SHORTEST_RETURN
+from persimmonusher_decisions.admission import MIN_RETRY_AFTER_SECONDS, MIN_SHED_RETRY_AFTER_SECONDS
 from persimmonusher_decisions.evidence import EvidenceLog
 from persimmonusher_decisions.notices import Notice, NoticeKind
 from persimmonusher_decisions.work import Outcome, OutcomeKind, Refusal
@@ -29,13 +29,14 @@
 
 
 class SheddingTest(unittest.TestCase):
-    """Every server turns away half of its requests for seconds, whatever its load."""
+    """Every server refuses half of its requests for seconds, whatever its load."""
 
     def test_callers_come_back_soon_and_are_served_in_time(self) -> None:
-        """Half of all requests are turned away and the budget for asking others is spent at once.
+        """Guards against a long retry-after when half of all requests are refused by servers.
 
-        The next try of a caller is as likely to be taken as the first was. Told to come back after
-        a second or more, two of five had their answer only after a second, or never.
+        The retry budget is used up at once, while a caller's next try is as likely to be accepted
+        as its first. With a retry-after of a second or more, two of five callers got their answer
+        only after a second, or never.
         """
         load = replace(
             LOOKUPS_AND_PURCHASES, shed_share=0.55, shed_from=2.0, shed_seconds=18.0, returns=3
@@ -56,21 +57,22 @@
             refusal = traffic.retry(dispatch, SHED, 1.0)
             assert isinstance(refusal, Refusal)
             seconds.append(refusal.retry_after)
-        self.assertLess(max(seconds[:3]), 2 * SHORTEST_RETURN)
-        self.assertGreater(min(seconds[-3:]), 1.3 * SHORTEST_RETURN)
-        self.assertLess(max(seconds), SHORTEST_RETRY_AFTER)
+        self.assertLess(max(seconds[:3]), 2 * MIN_SHED_RETRY_AFTER_SECONDS)
+        self.assertGreater(min(seconds[-3:]), 1.3 * MIN_SHED_RETRY_AFTER_SECONDS)
+        self.assertLess(max(seconds), MIN_RETRY_AFTER_SECONDS)
 
 
 class BusyAndIllTest(unittest.TestCase):
     def test_lookups_prove_servers_well_while_the_others_are_busy(self) -> None:
-        """At four fifths of the slots, a third of the servers is ill, each for 2.7 s.
+        """Guards against healthy servers that are avoided for too long while the others are busy.
 
-        Passed by for a fixed time of 4 s, 44% stand idle and the rest is crowded: more than one
-        answer in four takes longer than a second.
+        At four fifths of the slots, a third of the servers is faulty, each for 2.7 s. If each is
+        avoided for a fixed time of 4 s, 44% of the servers are idle and the rest overloaded: more
+        than one answer in four takes longer than a second.
         """
         load = replace(LOOKUPS_AND_PURCHASES, requests_a_second=285.0)
         with (
-            patch.object(placement, "BUSY", 1_000.0),
+            patch.object(placement, "BUSY_LOAD_PER_SLOT", 1_000.0),
             patch.object(EvidenceLog, "take_overdue", return_value=[]),
         ):
             fixed = play(load)
@@ -81,10 +83,11 @@
 
 class MostIllTest(unittest.TestCase):
     def test_servers_that_the_floor_spares_get_work_only_when_the_others_are_busy(self) -> None:
-        """Six of nine servers fail, and five may be passed by.
+        """Guards against full use of a suspected server that the floor keeps in use.
 
-        The sixth is as ill as the others. Used like the well ones it looks idle, since it fails at
-        once, and loses a quarter of all entries.
+        Six of nine servers fail, and five may be avoided. The sixth is as faulty as the others. If
+        it were used like the healthy ones, it would look idle, since it fails fast, and would lose
+        a quarter of all entries.
         """
         profile = PROFILE.model_copy(update={"fewest_in_progress": 100, "far_load_percent": 0})
         traffic = make_traffic(9, profile)
@@ -102,10 +105,11 @@
 
 class BurstTest(unittest.TestCase):
     def test_entries_wait_for_lookups_to_prove_servers(self) -> None:
-        """Bursts beyond all slots, while a third of the servers is ill for 9 s at a time.
+        """Guards against trying suspected servers with requests that can't be retried.
 
-        An entry that finds the well servers crowded and tries one that is passed by is mostly lost;
-        a lookup that does so is sent again.
+        In bursts beyond all slots, a third of the servers is faulty for 9 s at a time. An entry
+        that tries a suspected server because the healthy ones are busy is mostly lost; a lookup
+        that does so is retried.
         """
         load = replace(
             LOOKUPS_AND_PURCHASES,
@@ -114,7 +118,7 @@
             ill_seconds=9.0,
             ill_chance=0.3,
         )
-        with patch.object(placement, "LOOKUP_SECONDS", 0.0):
+        with patch.object(placement, "LOOKUP_MEMORY_SECONDS", 0.0):
             tried = play(load)
         proved = play(load)
         self.assertLess(proved.failed_share, 0.8 * tried.failed_share)
@@ -123,10 +127,11 @@
 
 class OverdueTest(unittest.TestCase):
     def test_a_way_that_swallows_a_request_gets_no_second_one(self) -> None:
-        """What one instance sends to one server is lost on the way, for seconds.
+        """Guards against sending more requests over a path that drops them.
 
-        A purchase sent there shows nothing for 3 s, when its caller's time is over. Until then the
-        next ones went the same way, as the server had only one request in progress.
+        Requests of one instance to one server are lost for seconds. A purchase sent there gets no
+        outcome until its caller's deadline after 3 s. Until then further requests would be sent
+        there, as the server has only one request in progress.
         """
         traffic = make_traffic(6, PROFILE)
         for number in range(10):
@@ -155,7 +160,7 @@
         return self.traffic.find_seconds_passed_by(self.ill, now)
 
     def test_a_recovery_is_believed_unless_a_failure_is_newer(self) -> None:
-        """A server does one lookup well, and fails the next before the answer has arrived."""
+        """A server answers one lookup, and fails the next before that answer has arrived."""
         self.tell(NoticeKind.RECOVERED, "v", 2.0, seconds=0.4)
         self.tell(NoticeKind.FAILED, "g", 3.0)
         self.tell(NoticeKind.RECOVERED, "w", 3.2, seconds=0.4)
@@ -167,9 +172,9 @@
         self.assertEqual(self.find_seconds(5.5), 0.0)
 
     def test_how_long_servers_stay_ill_is_learned(self) -> None:
-        """Illnesses last 10 s, and the profile says 4 s: each return comes too early at first.
+        """Faults last 10 s and the profile says 4 s, so at first each return comes too early.
 
-        What one server shows holds for the others of the service, which fail alike.
+        What is learned from one server applies to the others of the service, which fail alike.
         """
         now = 1.0
         for round_number in range(6):
@@ -197,10 +202,11 @@
         return self.traffic.find_seconds_passed_by(ServerId("s0"), now)
 
     def test_what_one_instance_cannot_reach_the_others_go_on_using(self) -> None:
-        """Links of some instances to some servers fail, one way, for seconds.
+        """Guards against avoiding servers everywhere because of one-way link faults.
 
-        Each such instance told all others, and soon nearly every server was passed by everywhere;
-        the floor then brought back those that were really ill.
+        Links of some instances to some servers fail for seconds. If each such instance's notice
+        counted everywhere, nearly every server would soon be avoided by all, and the floor would
+        keep those in use that are really faulty.
         """
         self.assertEqual(self.tell("a", 1.0), 0.0)
         self.assertEqual(self.tell("b", 1.1), 0.0)
--- a/packages/decisions/tests/test_locality.py
+++ b/packages/decisions/tests/test_locality.py
@@ -12,9 +12,9 @@
 
 
 def count_far(answer_bytes: int, in_progress: int, profile: Profile = PROFILE) -> float:
-    """Return the share of requests that went to another failure domain, of 2000.
+    """Return the share of 2000 requests that went to another failure domain.
 
-    Two of eight servers, of four slots each, are near; as many requests as said are in progress.
+    Two of eight servers, with four slots each, are near; `in_progress` requests are kept running.
     """
     traffic = make_traffic(8, profile)
     held: deque[Dispatch] = deque()
@@ -35,17 +35,17 @@
 
 class LocalityTest(unittest.TestCase):
     def test_large_answers_stay_near_while_near_servers_have_slots(self) -> None:
-        """A service answers with 5 kB; its near servers run at three quarters of their slots.
+        """Guards against sending large answers across domains while near servers have free slots.
 
-        With one preference for all services, a fifth of the answers and more crossed to another
-        failure domain, at several times the price of all control messages, for free slots that
-        the near servers had as well.
+        A service answers with 5 kB, and its near servers run at three quarters of their slots. With
+        the same preference for all services, a fifth of the answers or more crossed to another
+        failure domain, at several times the price of all control messages.
         """
         self.assertLess(count_far(5_000, 6), 0.02)
         self.assertGreater(count_far(400, 6), 0.2)
 
     def test_far_servers_help_once_near_ones_queue(self) -> None:
-        """A burst in one domain: 24 requests in progress for eight near slots of 32 in all."""
+        """A burst in one domain: 24 requests in progress, with eight near slots of 32 in total."""
         self.assertGreater(count_far(5_000, 24), 0.3)
 
     def test_no_answer_is_so_large_that_a_queue_grows_without_end(self) -> None:
--- a/packages/decisions/tests/test_penalties.py
+++ b/packages/decisions/tests/test_penalties.py
@@ -1,4 +1,4 @@
-"""Servers that failed or refused once and are well from then on."""
+"""Servers that fail or refuse once and are healthy from then on."""
 
 import unittest
 
@@ -10,17 +10,17 @@
 
 PROFILE = Profile(suspect_ms=4_000)
 RETURN_SECONDS = 12.0
-"""Four times the memory of a penalty, after which the share counts."""
+"""Four times the time constant of a penalty; the share is counted after it."""
 WATCHED_SECONDS = 20.0
 FAIR = 0.5
-"""Part of an equal share that a well server gets at least."""
+"""Least part of an equal share that a healthy server must get."""
 WELL = Outcome(OutcomeKind.SUCCESS, 0.02)
 KINDS = (OutcomeKind.REFUSED, OutcomeKind.FAILURE, OutcomeKind.TIMEOUT)
 
 
 class ReturnTest(unittest.TestCase):
     def find_share(self, kind: OutcomeKind, servers: int, gap: float, at_once: int) -> float:
-        """Return a server's share of the work, of an equal one, well after its one bad answer."""
+        """Return a server's work long after its one bad answer, as a part of an equal share."""
         traffic = make_traffic(servers, PROFILE, domain="elsewhere")
         bad = dispatched(traffic.offer(make_request("bad"), 0.0))
         marked = bad.server.server_id
@@ -39,13 +39,13 @@
             traffic.advance(now)
         return chosen.count(marked) * servers / len(chosen)
 
-    # Guards against a server being left out for good by what is left of a penalty while all idle.
+    # Guards against the remainder of a penalty excluding a server for good while all are idle.
     def test_a_well_server_gets_its_share_again_at_one_request_at_a_time(self) -> None:
         for kind in KINDS:
             with self.subTest(kind=kind):
                 self.assertGreater(self.find_share(kind, 3, 0.1, 1), FAIR)
 
-    # Guards against the same where each server sees a request in half a minute.
+    # Guards against the same when each server gets only one request in half a minute.
     def test_a_well_server_gets_its_share_again_among_many(self) -> None:
         for kind in KINDS:
             with self.subTest(kind=kind):
@@ -59,7 +59,7 @@
 
 
 class ReportedLoadTest(unittest.TestCase):
-    # Guards against an old report of load deciding between idle servers for good.
+    # Guards against an old load report deciding between idle servers for good.
     def test_an_old_report_does_not_decide_between_idle_servers(self) -> None:
         traffic = make_traffic(3, PROFILE, domain="elsewhere")
         servers = [ServerId(f"s{number}") for number in range(3)]
--- a/packages/decisions/tests/test_proofs.py
+++ b/packages/decisions/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""Load: lookups of a busy service, which try the servers that are passed by."""
+"""Lookups of a busy service, which try suspected servers."""
 
 import unittest
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 def make_track(number: int, domain: FailureDomain, suspected_at: float | None) -> ServerTrack:
-    """Return a full server, or one that failed at a moment and has been idle since."""
+    """Return a track of a full server, or of one that failed at a time and is idle since then."""
     track = ServerTrack(replace(make_server(number), failure_domain=domain), 0.0)
     track.connection_limit = 100
     if suspected_at is None:
@@ -42,10 +42,10 @@
         self.far = make_track(1, ELSEWHERE, 1.0)
 
     def test_a_lookup_tries_a_near_server_first(self) -> None:
-        """All instances are busy, and each tries a server that was ill.
+        """Guards against all failure domains trying the same suspected server.
 
-        Of all servers one had failed the longest ago, and lookups of every failure domain went
-        there: large answers crossed domains, and most met the same illness.
+        If lookups of every domain went to the server whose failure is the longest ago, large
+        answers would cross domains, and most lookups would meet the same fault.
         """
         self.assertEqual(choose(self.full, self.far, make_track(2, HERE, 3.0)), "s2")
 
--- a/packages/decisions/tests/test_quota_shares.py
+++ b/packages/decisions/tests/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""Load: organisations within and beyond their quotas, at keepers that are lost, cut off and new."""
+"""Organisations within and beyond their quotas, with keepers lost, isolated and restarted."""
 
 import unittest
 from collections import deque
@@ -13,11 +13,11 @@
 NAME = CallerId("acme")
 ENTRIES = 100
 SECONDS_BETWEEN_REQUESTS = 4.0
-"""Of one caller."""
+"""Mean interval between the requests of one caller."""
 
 
 def find_allowed(quota: RequestQuota) -> float:
-    """Return the requests that may run within a window."""
+    """Return how many requests may run within a window."""
     within = quota.per_second * TERMS.window_seconds + quota.burst
     return within + TERMS.find_slack(quota)
 
@@ -35,7 +35,7 @@
         self.refused = 0
 
     def ask(self, now: float, keeper: int, holder: str = "", lenders: bool = True) -> bool:
-        """Ask for one request by a held token, a keeper's own ones, or lent ones."""
+        """Ask for one request: use a held token, else the keeper's own, else lent ones."""
         expires = self.held.pop((keeper, holder), 0.0)
         expects_more = now - self.seen.get(holder, -60.0) < HELD_SECONDS
         self.seen[holder] = now
@@ -78,7 +78,7 @@
 
 class QuotaSharesTest(unittest.TestCase):
     def play(self, quota: RequestQuota, demand: float, seed: int, seconds: float = 40.0) -> Fleet:
-        """Have callers ask that each stay with one entry, as their connections do."""
+        """Simulate callers that each use one entry, as their connections do."""
         fleet = Fleet(quota, seed)
         callers = max(1, round(quota.per_second / 1.6 * SECONDS_BETWEEN_REQUESTS))
         entries = [fleet.random.randrange(ENTRIES) for _ in range(callers)]
@@ -90,7 +90,7 @@
         return fleet
 
     def test_usual_requests_are_granted(self) -> None:
-        """Guards against shares so small that chance refuses what the quota allows."""
+        """Guards against shares so small that requests within the quota are refused by chance."""
         for quota in (RequestQuota(3, 3), RequestQuota(5, 5), RequestQuota(57, 57)):
             for seed in range(3):
                 with self.subTest(quota=quota, seed=seed):
@@ -98,7 +98,7 @@
                     self.assertLess(fleet.refused, 0.01 * len(fleet.granted) + 1)
 
     def test_no_window_exceeds_a_quota_under_pressure(self) -> None:
-        """Guards against counts that lag behind an organisation at many times its usual rate."""
+        """Guards against counts that lag behind when an organisation far exceeds its quota."""
         for quota in (RequestQuota(1, 0), RequestQuota(5, 5), RequestQuota(57, 57)):
             for seed in range(3):
                 with self.subTest(quota=quota, seed=seed):
@@ -107,7 +107,7 @@
                     self.assertGreater(len(fleet.granted), 0.9 * 40.0 * quota.per_second)
 
     def test_no_window_exceeds_a_quota_while_keepers_are_lost(self) -> None:
-        """Guards against keepers, cut off or started anew, that each grant the whole quota."""
+        """Guards against isolated or restarted keepers that each grant the whole quota."""
         for seed in range(6):
             quota = RequestQuota(57, 57) if seed % 2 else RequestQuota(5, 5)
             with self.subTest(quota=quota, seed=seed):
@@ -125,7 +125,7 @@
                 self.assertLessEqual(fleet.find_most(), find_allowed(quota))
 
     def test_a_lower_quota_binds_at_once(self) -> None:
-        """Guards against tokens of a former, higher quota that would be granted on."""
+        """Guards against granting the tokens of an earlier, higher quota."""
         shares = QuotaShares(TERMS, 1, -60.0)
         self.assertTrue(shares.take(NAME, RequestQuota(1000, 1000), "", 0.0).now)
         lower = RequestQuota(1, 0)
@@ -133,7 +133,7 @@
         self.assertLess(granted, find_allowed(lower))
 
     def test_organisations_without_requests_are_forgotten(self) -> None:
-        """Guards against memory that grows with all organisations that ever had a request."""
+        """Guards against memory use that grows with each organisation that ever had a request."""
         shares = QuotaShares(TERMS, KEEPERS, 0.0)
         for number in range(1000):
             shares.take(CallerId(f"o{number}"), RequestQuota(5, 5), "", 10.0)
--- a/packages/decisions/tests/test_rate_limits.py
+++ b/packages/decisions/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Servers that name how many requests a second they take from all instances together."""
+"""Servers that limit the requests per second from all instances together."""
 
 import unittest
 
@@ -17,11 +17,11 @@
 WINDOW_SECONDS = 4.0
 TOLD_SECONDS = 0.5
 CONNECTIONS = 400
-"""That a server accepts of all instances."""
+"""Connections that a server accepts from all instances."""
 
 
 def play(scene: Scene, rate: float, seed: int, until: float = 1e9) -> Seen:
-    """Let one server name a limit from a moment on."""
+    """Simulate a fleet in which one server names a limit from NAMED_AT to `until`."""
 
     def advise(server_id: ServerId, now: float) -> ServerAdvice:
         names = server_id == LIMITED and NAMED_AT <= now < until
@@ -31,7 +31,7 @@
 
 
 def find_largest_window(seen: Seen, told_only: bool) -> int:
-    """Return the most that reached the server in a window, of all or of what it had told."""
+    """Return the most requests in a window, of all instances or of those told of the limit."""
     told = seen.list_told_arrivals(LIMITED, TOLD_SECONDS)
     begin = NAMED_AT + WORK_SECONDS + TOLD_SECONDS
     every = [arrival for arrival in seen.list_arrivals(LIMITED) if arrival.at >= begin]
@@ -54,35 +54,35 @@
                     seen = play(scene, rate, seed)
                     largest = find_largest_window(seen, told_only)
                     self.assertLessEqual(largest, find_allowed(rate))
-                    # With more instances than connections, some wait for one.
+                    # With more instances than connections, some requests wait for a connection.
                     if scene.servers > 1 and scene.instances < CONNECTIONS:
                         self.assertEqual(seen.refused, 0)
 
-    # Guards against each instance sending a limited server as much as if it were alone.
+    # Guards against each instance using a server's whole limit.
     def test_a_fleet_of_any_size_keeps_a_servers_limit(self) -> None:
         self.check(Scene(), (0.5, 1.0, 1.5, 6.0, 25.0), range(6))
         self.check(Scene(instances=1, requests_a_second=30.0), (1.0, 6.0), range(3))
         self.check(Scene(instances=300, servers=60, seconds=12.0), (1.0, 6.0), range(2))
         self.check(Scene(instances=2_500, servers=25, requests_a_second=0.1), (1.0,), range(1))
 
-    # Guards against the limit being kept only because other servers take the work.
+    # Guards against a limit that is respected only because other servers can take the work.
     def test_a_limit_is_kept_by_a_fleet_that_has_no_other_server(self) -> None:
         self.check(Scene(servers=1), (0.5, 1.0, 1.5, 6.0, 25.0), range(8))
         self.check(Scene(instances=300, servers=1, requests_a_second=0.5), (1.0, 6.0), range(3))
 
-    # Guards against the limit being kept only while every instance hears of it from the others.
+    # Guards against a limit that is respected only if every instance receives the notices.
     def test_a_limit_is_kept_while_notices_are_lost_and_instances_are_miscounted(self) -> None:
         scene = Scene(lost_share=0.5, cut_share=0.4, counted_share=0.5)
         self.check(scene, (1.0, 6.0), range(6), told_only=True)
 
-    # Guards against all instances sending at a burst what they didn't send before.
+    # Guards against all instances using their unused turns at once in a burst.
     def test_a_limit_is_kept_when_a_burst_follows_a_quiet_time(self) -> None:
         scene = Scene(
             servers=1, requests_a_second=0.05, seconds=90.0, burst_at=80.0, burst_factor=60.0
         )
         self.check(scene, (0.5, 1.0, 4.0), range(4))
 
-    # Guards against a server in need being left without any work while it takes some.
+    # Guards against a limited server getting no work although it accepts some.
     def test_a_limited_server_gets_a_part_of_what_it_takes(self) -> None:
         seen = play(Scene(servers=1, requests_a_second=2.0, seconds=40.0), 6.0, seed=1)
         arrivals = [a for a in seen.list_arrivals(LIMITED) if a.at >= NAMED_AT + STABLE_SECONDS]
@@ -101,7 +101,7 @@
 
 class LimitedTrafficTest(unittest.TestCase):
     def name_limit(self, rate: float | None, live: int = 1) -> None:
-        """Let the only server name a limit in its first answer, at second 1."""
+        """Make traffic whose only server names a limit in its first answer, at second 1."""
         self.traffic = make_traffic(servers=1, profile=PROFILE, live=live)
         first = dispatched(self.traffic.offer(make_request("r1", 0.9), 0.9))
         self.traffic.take_advice(first, ServerAdvice(rate_limit=rate), 1.0)
@@ -121,12 +121,12 @@
                     self.traffic.finish(released, GOOD, now)
         return sent
 
-    # Guards against copies, further attempts and the last server left passing a limit by.
+    # Guards against hedges, retries, or a lack of other servers exceeding a limit.
     def test_nothing_passes_the_limit_of_the_only_server(self) -> None:
         self.name_limit(2.0)
         self.assertLessEqual(self.count_sent(4.0), 8)
 
-    # Guards against requests that wait for a server which takes none before their time is over.
+    # Guards against requests that wait for a server that accepts none before their deadlines.
     def test_what_no_server_takes_in_time_is_refused_at_once(self) -> None:
         self.name_limit(0.5, live=36)
         self.traffic.offer(make_request("r2", 1.1), 1.1)
@@ -134,7 +134,7 @@
         assert isinstance(decision, Refusal), decision
         self.assertGreaterEqual(decision.retry_after, 1.0)
 
-    # Guards against a server without a limit being held back by another one's former answer.
+    # Guards against ending a limit by an answer to a request sent before the limit was named.
     def test_an_answer_from_before_the_limit_does_not_end_it(self) -> None:
         self.traffic = make_traffic(servers=1, profile=PROFILE, live=36)
         early = dispatched(self.traffic.offer(make_request("r1", 0.5), 0.5))
@@ -143,14 +143,14 @@
         self.traffic.take_advice(early, SILENT, 1.1)
         self.assertEqual(self.traffic.describe(1.2)[0].rate_limit, 1.0)
 
-    # Guards against a limit that can't be read ending the one that was named before.
+    # Guards against an unreadable limit ending the current one.
     def test_a_limit_that_can_not_be_read_changes_nothing(self) -> None:
         self.name_limit(1.0)
         later = dispatched(self.traffic.offer(make_request("r2", 9.0), 9.0))
         self.traffic.take_advice(later, ServerAdvice(is_readable=False), 9.1)
         self.assertEqual(self.traffic.describe(9.2)[0].rate_limit, 1.0)
 
-    # Guards against a server that names 0 never being asked again whether that holds.
+    # Guards against a server with a limit of 0 getting no request that could show its end.
     def test_a_limit_of_nothing_is_asked_about_from_time_to_time(self) -> None:
         self.name_limit(0.0)
         self.assertGreaterEqual(self.count_sent(20.0, 0.05), 1)
--- a/packages/decisions/tests/test_rests.py
+++ b/packages/decisions/tests/test_rests.py
@@ -1,4 +1,4 @@
-"""Servers that turn requests away and want nothing from that instance for some seconds."""
+"""Servers that refuse an instance's request and ask that instance for some seconds of rest."""
 
 import unittest
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 def play(scene: Scene, resting: int, seed: int) -> Seen:
-    """Let the first so many servers turn requests away for some seconds."""
+    """Simulate a fleet in which the first `resting` servers ask for rest for some seconds."""
     names = {ServerId(f"s{index}") for index in range(resting)}
 
     def advise(server_id: ServerId, now: float) -> ServerAdvice:
@@ -31,7 +31,7 @@
 
 
 def count_in_rest(seen: Seen, rest: Rest) -> int:
-    """Count what reached a server from an instance in a rest that it had asked for."""
+    """Count the requests that reached a server from an instance during a rest."""
     begin = rest.at + 2 * WAY_SECONDS
     return sum(
         arrival.instance == rest.instance and begin < arrival.at < rest.at + rest.seconds
@@ -40,7 +40,7 @@
 
 
 class FleetRestTest(unittest.TestCase):
-    # Guards against a server that asked for rest being used as it looks the least loaded.
+    # Guards against using a resting server because it looks the least loaded.
     def test_a_server_gets_nothing_in_its_rest(self) -> None:
         for resting in (1, 3, 6):
             for seed in range(4):
@@ -49,12 +49,12 @@
                     self.assertGreater(len(seen.rests), 0)
                     self.assertEqual([r for r in seen.rests if count_in_rest(seen, r)], [])
 
-    # Guards against callers being turned away while other servers are well.
+    # Guards against refusing callers while other servers accept work.
     def test_callers_are_served_by_the_others(self) -> None:
         seen = play(Scene(servers=6, requests_a_second=2.0), 2, seed=1)
         self.assertLess(seen.refused, 0.01 * seen.served)
 
-    # Guards against servers that are left out for longer than they asked for.
+    # Guards against servers that get no requests for longer than they asked for.
     def test_a_server_is_used_again_after_its_rest(self) -> None:
         seen = play(Scene(servers=6, requests_a_second=2.0), 6, seed=1)
         late = [arrival for arrival in seen.arrivals if arrival.at > ASKED_UNTIL + 3.5]
@@ -66,7 +66,7 @@
         self.traffic = make_traffic(servers=2, profile=PROFILE)
 
     def turn_away(self, traffic: ServiceTraffic, now: float) -> ServerId:
-        """Let the server that gets the next request ask for 3 s of rest."""
+        """Have the server that gets the next request refuse it and ask for 3 s of rest."""
         sent = dispatched(traffic.offer(make_request(f"t{now}", now), now))
         traffic.take_advice(sent, REST, now)
         traffic.finish(sent, Outcome(OutcomeKind.REFUSED, 0.001), now)
@@ -79,14 +79,14 @@
         self.traffic.finish(decision, GOOD, now + 0.02)
         return decision.server.server_id
 
-    # Guards against a rest being kept only while another server is there to choose.
+    # Guards against a rest that is respected only while there is another server.
     def test_the_last_server_left_is_not_used_in_its_rest(self) -> None:
         self.turn_away(self.traffic, 1.0)
         self.turn_away(self.traffic, 1.1)
         for moment in range(14):
             self.assertIsNone(self.choose(1.2 + 0.2 * moment, idempotent=bool(moment % 2)))
 
-    # Guards against callers that wait until their time is over for servers that rest for longer.
+    # Guards against requests that wait for servers that rest beyond the requests' deadlines.
     def test_a_request_is_refused_at_once_with_the_time_of_the_first_to_return(self) -> None:
         self.turn_away(self.traffic, 1.0)
         self.turn_away(self.traffic, 2.0)
@@ -94,7 +94,7 @@
         assert isinstance(decision, Refusal), decision
         self.assertAlmostEqual(decision.retry_after, 1.5)
 
-    # Guards against a request that no server of a sample takes being refused, or waiting.
+    # Guards against refusing or queueing a request because all sampled servers are closed.
     def test_the_only_open_server_of_many_is_found(self) -> None:
         traffic = make_traffic(servers=60, profile=PROFILE)
         for number in range(59):
@@ -105,7 +105,7 @@
             sent = dispatched(traffic.offer(make_request(f"r{number}", 1.01), 1.01))
             traffic.finish(sent, GOOD, 1.01)
 
-    # Guards against servers that are open being told as closed to a request that came slowly.
+    # Guards against reporting open servers as closed for a request that arrived slowly.
     def test_a_request_that_came_slowly_is_not_refused_for_closed_servers(self) -> None:
         for number in range(100):
             decision = self.traffic.offer(make_request(f"r{number}", 1.0), 1.0)
@@ -115,7 +115,7 @@
         decision = self.traffic.offer(slow, 1.0)
         self.assertNotIsInstance(decision, (Dispatch, Refusal))
 
-    # Guards against a caller sent back at once to servers that all rest.
+    # Guards against a short retry-after while all servers rest.
     def test_a_request_that_the_last_server_turned_away_comes_back_after_the_rest(self) -> None:
         self.turn_away(self.traffic, 1.0)
         sent = dispatched(self.traffic.offer(make_request("r", 1.5), 1.5))
@@ -126,7 +126,7 @@
         assert isinstance(decision, Refusal), decision
         self.assertAlmostEqual(decision.retry_after, 2.5)
 
-    # Guards against a rest that ends with the server's next good answer, or a shorter rest.
+    # Guards against a rest that is ended by a good answer or by a shorter rest.
     def test_neither_a_good_answer_nor_a_shorter_rest_ends_a_rest(self) -> None:
         early = dispatched(self.traffic.offer(make_request("e1", 0.9), 0.9))
         resting = early.server.server_id
@@ -136,7 +136,7 @@
         for moment in range(8):
             self.assertNotEqual(self.choose(1.7 + 0.25 * moment), resting)
 
-    # Guards against a turn at a server with a limit that begins while the server rests.
+    # Guards against using a turn at a limited server that begins while the server rests.
     def test_a_turn_does_not_end_a_rest(self) -> None:
         traffic = make_traffic(servers=1, profile=PROFILE)
         resting = self.turn_away(traffic, 1.0)
@@ -149,7 +149,7 @@
             self.assertNotIsInstance(decision, Dispatch)
             traffic.withdraw(decision.request)
 
-    # Guards against a rest that is forgotten as servers, the profile or the fleet's size change.
+    # Guards against a rest that is lost when servers, the profile or the fleet's size change.
     def test_changes_of_servers_and_profile_do_not_end_a_rest(self) -> None:
         resting = self.turn_away(self.traffic, 1.0)
         self.traffic.replace_servers([make_server(index) for index in range(3)], 1.5)
@@ -158,7 +158,7 @@
         for moment in range(8):
             self.assertNotEqual(self.choose(1.7 + 0.25 * moment), resting)
 
-    # Guards against a rest that outlives the start of the server that asked for it.
+    # Guards against a rest that outlives the boot of the server that asked for it.
     def test_a_server_that_has_started_again_owes_nothing(self) -> None:
         traffic = make_traffic(servers=1, profile=PROFILE)
         self.turn_away(traffic, 1.0)
@@ -176,7 +176,7 @@
             if isinstance(decision, Dispatch):
                 self.assertNotEqual(decision.server.server_id, resting)
 
-    # Guards against sending what was placed on a server before it asked for rest.
+    # Guards against sending a request that was placed on a server before it asked for rest.
     def test_what_was_placed_before_is_withheld_and_placed_elsewhere(self) -> None:
         placed = dispatched(self.traffic.offer(make_request("r1", 0.9), 0.9))
         self.assertTrue(self.traffic.may_send(placed, 0.9))
@@ -190,7 +190,8 @@
 
 
 class LeavingServerTest(unittest.TestCase):
-    # Guards against work for a server that says it leaves before its announcement does.
+    # Guards against sending work to a server that says in an answer, before its announcement, that
+    # it leaves.
     def test_a_server_that_says_it_leaves_gets_nothing_more_in_this_start(self) -> None:
         traffic = make_traffic(servers=2, profile=PROFILE)
         placed = dispatched(traffic.offer(make_request("r1", 1.0), 1.0))
--- a/packages/decisions/tests/test_retries.py
+++ b/packages/decisions/tests/test_retries.py
@@ -28,10 +28,11 @@
 
 class ThinTrafficTest(unittest.TestCase):
     def test_scattered_failures_of_a_thin_service_are_retried(self) -> None:
-        """A service of 24 lookups a second behind 48 instances; one in eight fails.
+        """Guards against errors when a service's few requests are spread over many instances.
 
-        Callers see errors all day: each instance has a request every two seconds, and its part of
-        the slack is spent at its first failure, while the fleet as a whole could send 64 a window.
+        24 lookups per second reach 48 instances, and one in eight fails. Each instance has a
+        request every two seconds, and its part of the slack is used up at its first failure, while
+        the fleet as a whole could send 64 further attempts in a window.
         """
         random = Random(5)
         served = asked = 0
@@ -45,10 +46,11 @@
         self.assertGreater(served / asked, 0.97)
 
     def test_a_busy_instance_spends_what_its_own_requests_earned(self) -> None:
-        """One instance has 4 requests a second; then a server refuses, and six fail in a row.
+        """Guards against a budget that can't cover a cluster of failures.
 
-        With the percentage saved up to a single attempt, five callers would get an error though
-        forty requests before theirs needed nothing.
+        One instance has 4 requests per second; then a server refuses, and six requests fail in a
+        row. If only a single attempt could be saved up, five callers would get an error although
+        the forty requests before used none of the budget.
         """
         traffic = make_traffic(6, Profile(retry_budget_percent=18, retry_slack=SLACK), 48)
         for number in range(40):
@@ -59,7 +61,7 @@
 
 class BoundTest(unittest.TestCase):
     def test_no_window_holds_more_than_the_budget(self) -> None:
-        """Every attempt fails for 40 s, with skewed callers: retries mustn't feed the overload."""
+        """Every attempt fails for 40 s, at different rates: retries must stay within the budget."""
         for rate in (0.5, 4.0, 50.0):
             with self.subTest(rate=rate):
                 profile = Profile(retry_budget_percent=18, retry_slack=SLACK)
--- a/packages/decisions/tests/test_splitting.py
+++ b/packages/decisions/tests/test_splitting.py
@@ -13,9 +13,10 @@
 
 class SplittingTest(unittest.TestCase):
     def test_few_requests_over_many_instances_keep_the_weights(self) -> None:
-        """An operator sends a tenth of a route to a new release and looks after 300 requests.
+        """Guards against a share that is wrong over few requests on many instances.
 
-        Spread over 48 instances, each sees six of them; the release must still get its tenth.
+        An operator sends a tenth of a route to a new release and judges it after 300 requests. Each
+        of 48 instances sees six of them; the release must still get its tenth.
         """
         total: Counter[str] = Counter()
         for instance in range(48):
--- a/packages/decisions/tests/test_suspicion.py
+++ b/packages/decisions/tests/test_suspicion.py
@@ -18,7 +18,7 @@
 from persimmonusher_decisions import placement
 from persimmonusher_decisions.further_attempts import UNREACHED_ATTEMPTS
 from persimmonusher_decisions.notices import Notice, NoticeKind
-from persimmonusher_decisions.suspicion import LONGER
+from persimmonusher_decisions.suspicion import LENGTHENING_FACTOR
 from persimmonusher_decisions.traffic import ServiceTraffic
 from persimmonusher_decisions.work import Outcome, OutcomeKind, Refusal, RefusalReason
 from persimmonusher_model.identifiers import RequestId, ServerId
@@ -47,10 +47,11 @@
 
 class SuspicionTest(unittest.TestCase):
     def test_one_failure_anywhere_turns_all_instances_away(self) -> None:
-        """A server fails three of four requests for some seconds, seen by 48 instances.
+        """Guards against each instance needing a failure of its own before it avoids a server.
 
-        Each instance that waits for a failure of its own costs a caller a doubled or lost entry.
-        One of them sees it, tells the others, and none of them sends there for some seconds.
+        A server fails three of four requests for some seconds. With 48 instances, each failure that
+        an instance needs costs a caller a duplicate or lost entry. So the first instance that sees
+        a failure notifies the others, and none of them uses the server for some seconds.
         """
         first, second = make_traffic(6, SUSPECTING), make_traffic(6, SUSPECTING)
         dispatch = dispatched(first.offer(make_request("r"), 0.0))
@@ -65,9 +66,10 @@
         self.assertEqual(first.take_notices(), ())
 
     def test_the_floor_keeps_servers_when_most_fail(self) -> None:
-        """A fault of the work itself, or an overload, makes every server fail now and then.
+        """Guards against overloading the last servers when all fail now and then.
 
-        Passing by all that failed would crowd the work on the few that are left.
+        A fault of the work itself, or an overload, affects every server. If all that failed were
+        avoided, the few that are left would get all the work.
         """
         traffic = make_traffic(10, FLOOR_60)
         for server in range(10):
@@ -78,10 +80,11 @@
         self.assertGreater(len(chosen), 1)
 
     def test_a_further_attempt_goes_to_no_server_that_the_floor_spares(self) -> None:
-        """Seven of ten servers fail; the floor leaves those that failed first in use.
+        """Guards against retrying on a suspected server that the floor keeps in use.
 
-        A lookup meets one of them, its only further attempt meets the next, and its caller gets an
-        error while well servers have slots free.
+        Seven of ten servers fail, and the floor keeps those in use that failed first. If a lookup
+        fails on one of them and its only further attempt on the next, its caller gets an error
+        while healthy servers have free slots.
         """
         for ill in range(10):
             traffic = make_traffic(10, SUSPECTING)
@@ -97,9 +100,10 @@
             self.assertIn(again.server.server_id, well)
 
     def test_work_goes_on_when_every_server_is_passed_by_and_busy(self) -> None:
-        """A profile without a floor, and all servers failed a moment ago, with their slots taken.
+        """Guards against holding requests back when all servers are suspected and busy.
 
-        Requests were held back for want of a server, though any of them may be well again.
+        The profile has no floor, and all servers failed a moment ago. Any of them may have
+        recovered, so requests must still be sent.
         """
         profile = Profile(suspect_ms=5_000, health_floor_percent=0, fewest_in_progress=100)
         traffic = make_traffic(3, profile)
@@ -109,7 +113,7 @@
             dispatched(traffic.offer(make_request(f"r{number}"), 0.1))
 
     def test_a_server_that_fails_at_each_return_is_passed_by_for_longer(self) -> None:
-        """A server fails all its work for a minute; each return costs a caller an entry."""
+        """A server fails all its work for a minute; each return of it costs a caller an entry."""
         traffic = make_traffic(6, SUSPECTING)
         now, returns = 0.0, []
         for _ in range(5):
@@ -119,7 +123,7 @@
             returns.append(now)
         self.assertEqual(returns, [5.0, 15.0, 35.0, 55.0, 75.0])
         traffic.apply_notice(make_notice(0), 100.0)
-        learned = LONGER ** (len(returns) - 1)
+        learned = LENGTHENING_FACTOR ** (len(returns) - 1)
         self.assertAlmostEqual(
             traffic.find_seconds_passed_by(ServerId("s0"), 100.0),
             HOLD_SECONDS * learned,
@@ -134,9 +138,10 @@
         self.assertGreater(serve(traffic, 60, 20.0)["s0"], 0)
 
     def test_a_request_that_crashed_servers_elsewhere_is_refused_here(self) -> None:
-        """A request crashes each server that runs it, and its caller sends it to another entry.
+        """Guards against a request that crashes servers through one entry after the other.
 
-        No entry sees two crashes by itself, so alone each would let it take one server more.
+        Its caller resends it to another entry each time. No entry sees two crashes itself, so
+        without notices each would let it crash one more server.
         """
         traffic = make_traffic(6)
         poison = make_request("r", 1.0, fingerprint="poison")
@@ -148,10 +153,10 @@
         self.assertIs(refusal.reason, RefusalReason.QUARANTINED)
 
     def test_what_never_left_is_placed_again_at_no_cost(self) -> None:
-        """Some servers are cut off from this entry only; connections to them don't open.
+        """Some servers are unreachable from this instance only; connections to them don't open.
 
-        The request ran nowhere, so even an entry may be placed again, and no server has had any
-        work of it, so the retry budget, which is empty here, doesn't count it.
+        The request ran nowhere, so even a non-idempotent one may be placed again. It caused no
+        server any work, so it isn't charged to the retry budget, which is empty here.
         """
         traffic = make_traffic(8, Profile(retry_budget_percent=0, max_retries=0))
         request = make_request("r", idempotent=False)
@@ -170,9 +175,10 @@
         self.assertIs(refusal.reason, RefusalReason.OVERLOAD)
 
     def test_the_fleet_shares_the_slack_of_its_retries(self) -> None:
-        """48 instances meet the same fault in the same second, each with retries saved up.
+        """48 instances meet the same fault in the same second, each with its retries unused.
 
-        What all of them together send again must stay within the slack, here one each.
+        Their further attempts together must stay within the slack, here one each, plus the
+        percentage.
         """
         profile = Profile(retry_budget_percent=10, retry_slack=48)
         retried = 0
@@ -197,10 +203,11 @@
         return notice
 
     def test_a_request_that_fails_after_its_work_is_no_proof_against_its_server(self) -> None:
-        """One request in a hundred fails by itself, after the time that its work takes.
+        """Guards against suspecting healthy servers for chance failures of single requests.
 
-        Each such failure would pass a well server by for seconds; with many requests a second the
-        floor then brings back servers that are really ill.
+        One request in a hundred fails by itself, after the time that its work takes. If each such
+        failure made a healthy server avoided for seconds, at many requests per second the floor
+        would keep servers in use that are really faulty.
         """
         first, second = make_traffic(6, SUSPECTING), make_traffic(6, SUSPECTING)
         serve(first, 10, 0.0)
@@ -213,7 +220,7 @@
         self.assertGreater(serve(second, 60, 1.2)[notice.server_id], 0)
 
     def test_a_second_late_failure_turns_all_away(self) -> None:
-        """A server fails all its work, but only at its end, as one whose database is gone."""
+        """A server fails all its work, but only at the end, for example without its database."""
         first, second = make_traffic(6, SUSPECTING), make_traffic(6, SUSPECTING)
         serve(first, 10, 0.0)
         notice = self.see_failure(first, "r", 1.0, GOOD.latency)
@@ -255,10 +262,10 @@
         return total
 
     def test_few_entries_meet_an_ill_server(self) -> None:
-        """Entries can't be sent again: each that meets an ill server is lost to its caller.
+        """Guards against many lost entries while servers are faulty; entries can't be retried.
 
-        Evenly spread, a fifth of them would be. Told of at once, an illness costs one entry; what
-        remains is one in a hundred that fails by itself.
+        Evenly spread over the servers, a fifth of the entries would be lost. With notices, a fault
+        costs one entry; in addition, one entry in a hundred fails by itself.
         """
         load = Load(requests_a_second=90.0)
         blind = self.play(load, self.profile.model_copy(update={"suspect_ms": 0}))
@@ -267,10 +274,11 @@
         self.assertLess(told.failed_share, 0.4 * blind.failed_share)
 
     def test_a_burst_may_use_servers_that_were_ill(self) -> None:
-        """Nine servers, each ill for 3.6 s of 12 s; bursts of 1.7 times the requests for 3 s.
+        """Guards against refusals in a burst while servers that have recovered are idle.
 
-        Up to five servers are passed by, and in a burst the others' queues fill up: one request in
-        thirty is refused, while servers that have been well again for seconds stand idle.
+        Nine servers are each faulty for 3.6 s of 12 s, with bursts of 1.7 times the requests for
+        3 s. Up to five servers are avoided, and in a burst the queues of the others fill up: one
+        request in thirty is refused, while servers that recovered seconds ago are idle.
         """
         load = Load(
             instances=36,
@@ -284,7 +292,7 @@
             burst_factor=1.7,
         )
         profile = self.profile.model_copy(update={"suspect_ms": 4_000, "health_floor_percent": 44})
-        with patch.object(placement, "CROWDED", inf):
+        with patch.object(placement, "CROWDED_LOAD_PER_SLOT", inf):
             strict = self.play(load, profile)
         relieved = self.play(load, profile)
         self.assertLess(relieved.ends["refused"], 0.5 * strict.ends["refused"])
--- a/packages/decisions/tests/test_traffic.py
+++ b/packages/decisions/tests/test_traffic.py
@@ -82,10 +82,11 @@
         self.assertNotIn(leaving, serve(traffic, 50))
 
     def test_a_burst_in_one_domain_reaches_far_servers(self) -> None:
-        """A burst comes to the dozen instances of one failure domain, near two of eight servers.
+        """Guards against a burst in one domain that fills near queues while far servers are idle.
 
-        Each instance sees four requests of its own. Unless it knows what the others have sent, it
-        keeps to the near servers, whose queues fill up while the far ones idle.
+        The burst reaches the twelve instances of one failure domain, which has two of the eight
+        servers. Each instance sees four requests of its own; unless it knows what the others have
+        sent, it uses only the near servers.
         """
         profile = Profile(far_load_percent=30)
         near = {}
@@ -134,10 +135,10 @@
 
 
 class SaturationTest(unittest.TestCase):
-    """Demand is three times what the servers can do, from a greedy caller and some others.
+    """Guards against starvation when demand is three times the capacity.
 
-    Callers would see timeouts and a starved co-op: the queue fills with the greedy caller's
-    lookups, and entries that come later find no place.
+    One greedy caller sends most of the requests. If the queue filled with its lookups, the other
+    callers would time out, and entries that come later would find no place.
     """
 
     def test_refusals_are_immediate_and_places_are_shared(self) -> None:
@@ -223,7 +224,7 @@
         self.assertIs(last.reason, RefusalReason.RETRIES_EXHAUSTED)
 
     def test_a_lookup_is_copied_once_answers_hardly_take_as_long(self) -> None:
-        """A server hangs, and what is usual follows from the answers so far."""
+        """A server hangs; the usual latency follows from the answers so far."""
         traffic = make_traffic(3, Profile(hedge_slow=True))
         request = make_request("r", seconds=4.0)
         self.assertEqual(traffic.hedge_delay(request, 0.0), 2.0, "half of its time")
@@ -254,10 +255,11 @@
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """One request crashes each server that runs it, and its caller sends it again.
+    """Guards against a request that crashes one server after the other.
 
-    Callers would lose one server after the other. The instance sees the connection break with the
-    request in flight; its own retry would crash the next server within milliseconds.
+    The request crashes each server that runs it, and its caller resends it. The instance sees the
+    connection break with the request in flight; its own retry would crash the next server within
+    milliseconds.
     """
 
     def _crash(self, traffic: ServiceTraffic, name: str, now: float) -> int:
@@ -300,10 +302,10 @@
 
 
 class OverdueTest(unittest.TestCase):
-    """A server swallows requests: they are sent, and no answer ever comes.
+    """Guards against a server that hangs, and gets requests until the first deadline ends.
 
-    Callers would wait out their deadlines, one after the other, as nothing counts against the
-    server until the first of them ends.
+    Requests are sent, and no answer ever comes. Callers would wait until their deadlines, one after
+    the other, as nothing would count against the server before the first deadline.
     """
 
     def test_silent_server_is_told_of_before_any_deadline(self) -> None:
--- a/packages/decisions/tests/test_well_servers.py
+++ b/packages/decisions/tests/test_well_servers.py
@@ -1,4 +1,4 @@
-"""Load: a fleet of hundreds whose servers are ill in turn; the well ones must be used."""
+"""A fleet of hundreds of instances whose servers fail in turn; healthy servers must be used."""
 
 import unittest
 from collections import defaultdict
@@ -7,7 +7,7 @@
 from fleet_simulation import FleetSimulation, Load
 from heavy_loads import PROFILE
 
-from persimmonusher_decisions.suspicion import find_most_suspects
+from persimmonusher_decisions.suspicion import find_max_suspects
 from persimmonusher_decisions.traffic import ServiceTraffic
 from persimmonusher_decisions.work import Dispatch
 from persimmonusher_model.identifiers import ServerId
@@ -28,17 +28,17 @@
     ill_chance=0.3,
     seconds=30.0,
 )
-"""Payments only, none of which can be sent again, on 21 servers of which six are ill at a time."""
+"""Only payments, which can't be retried, on 21 servers of which about six are faulty at a time."""
 SEEDS = range(1, 5)
 FLOOR_SHARE = 0.7
-"""Part of the well servers that the users want in use."""
+"""Least part of the healthy servers that must be in use."""
 
 
 HEDGING = Profile(hedge_after_ms=50)
 
 
 class RecordedFleet(FleetSimulation):
-    """A fleet that keeps which servers got requests, by window."""
+    """A fleet simulation that records, by time window, which servers got requests."""
 
     def __init__(self, load: Load, profile: Profile, seed: int) -> None:
         super().__init__(load, profile, seed)
@@ -49,7 +49,7 @@
         super()._reach(instance, dispatch)
 
     def find_shares_used(self) -> list[float]:
-        """Return, by window, the part of the servers that got requests, of those well for long."""
+        """Return, by window, the part of the servers healthy in it and before that got requests."""
         shares = []
         for window in range(2, int(self._load.seconds / WINDOW_SECONDS)):
             well = [name for name in self._servers if self._is_well(name, window)]
@@ -58,7 +58,7 @@
         return shares
 
     def _is_well(self, name: ServerId, window: int) -> bool:
-        """Tell whether a server was well in a window and the one before."""
+        """Return whether a server was healthy in a window and the one before."""
         begin = (window - 1) * WINDOW_SECONDS
         moments = [begin + 0.25 * step for step in range(16)]
         return not any(self._servers[name].is_ill(moment) for moment in moments)
@@ -66,10 +66,11 @@
 
 class WellServersTest(unittest.TestCase):
     def test_well_servers_of_a_middling_service_are_used(self) -> None:
-        """A server that was ill is passed by for longer than it was, and so are others.
+        """Guards against avoiding so many recovered servers that the others are overloaded.
 
-        With a floor made for nine servers, 12 of 21 were passed by, most of them well again, while
-        payments waited in the queues of the others until their time was over.
+        Servers are avoided for longer than they are faulty. With a floor chosen for nine servers,
+        12 of 21 were avoided, most of them healthy again, while payments waited in the queues of
+        the others until their deadlines.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -82,12 +83,12 @@
         cases = {1: 0, 3: 1, 6: 3, 9: 5, 14: 7, 21: 9, 33: 14, 94: 41}
         for servers, most in cases.items():
             with self.subTest(servers=servers):
-                self.assertEqual(find_most_suspects(servers, LARGE_FLEET), most)
+                self.assertEqual(find_max_suspects(servers, LARGE_FLEET), most)
 
     def test_without_the_exception_the_floor_alone_decides(self) -> None:
         profile = replace_floor(60)
         for servers, most in {1: 0, 5: 2, 10: 4, 100: 40}.items():
-            self.assertEqual(find_most_suspects(servers, profile), most)
+            self.assertEqual(find_max_suspects(servers, profile), most)
 
 
 def replace_floor(percent: int) -> Profile:
@@ -96,16 +97,17 @@
 
 class CopiesInSaturationTest(unittest.TestCase):
     def test_no_copy_waits_behind_others(self) -> None:
-        """All servers have more requests than slots, and so every lookup is slow.
+        """Guards against hedging under overload.
 
-        Copies of slow ones joined the same queues, and a tenth of all work was done twice.
+        All servers have more requests than slots, so every lookup is slow. Copies of slow lookups
+        would join the same queues, and a tenth of all work would be done twice.
         """
         for in_progress, has_copy in {40: False, 0: True}.items():
             with self.subTest(in_progress=in_progress):
                 traffic = make_traffic(3, HEDGING)
                 first = dispatched(traffic.offer(make_request("r"), 0.0))
                 for tick in range(10):
-                    # Reports are believed up to a multiple of their mean, which follows them.
+                    # Reports are clamped to a multiple of their mean, which rises with them.
                     traffic.apply_loads({ServerId(f"s{n}"): in_progress for n in range(3)})
                     traffic.advance(0.2 * tick)
                     traffic.offer(make_request(f"w{tick}"), 0.2 * tick)
--- a/packages/decisions/tests/test_window.py
+++ b/packages/decisions/tests/test_window.py
@@ -1,6 +1,10 @@
 import unittest
 
-from persimmonusher_decisions.window import ALONE_SECONDS, FULL, ConcurrencyWindow
+from persimmonusher_decisions.window import (
+    FULL_LOAD_PER_SLOT,
+    REFUSAL_WINDOW_SECONDS,
+    ConcurrencyWindow,
+)
 from persimmonusher_model.identifiers import ServerId
 
 
@@ -10,9 +14,10 @@
         self.window.resize(48, 2)
 
     def test_a_clump_at_one_instance_finds_room(self) -> None:
-        """48 instances share 40 slots, and a co-op's clerks all reach the same one.
+        """Guards against refusals at one instance while the servers are idle.
 
-        Held to its equal part, that instance would queue and refuse while the servers idle.
+        48 instances share 40 slots, and the clerks of one co-op all reach the same instance. With a
+        limit of its equal part, that instance would queue and refuse requests.
         """
         for fewest, expected in ((1, 2.0), (4, 8.0)):
             with self.subTest(fewest):
@@ -21,24 +26,27 @@
                 self.assertEqual(window.limit, expected)
 
     def test_one_server_that_refuses_alone_holds_nobody_back(self) -> None:
-        """A gray server refuses half its work, while all others have room."""
+        """One faulty server refuses half its work, while all others have free slots."""
         before = self.window.limit
         for number in range(20):
-            self.window.record_refusal(ServerId("ill"), FULL, number * 0.1)
+            self.window.record_refusal(ServerId("ill"), FULL_LOAD_PER_SLOT, number * 0.1)
         self.assertEqual(self.window.limit, before)
 
     def test_refusals_of_several_servers_say_that_the_service_is_full(self) -> None:
         before = self.window.limit
-        self.window.record_refusal(ServerId("a"), FULL, 0.0)
-        self.window.record_refusal(ServerId("b"), FULL, 2 * ALONE_SECONDS)
+        self.window.record_refusal(ServerId("a"), FULL_LOAD_PER_SLOT, 0.0)
+        self.window.record_refusal(ServerId("b"), FULL_LOAD_PER_SLOT, 2 * REFUSAL_WINDOW_SECONDS)
         self.assertEqual(self.window.limit, before)
-        self.window.record_refusal(ServerId("c"), FULL, 2 * ALONE_SECONDS + 0.1)
+        self.window.record_refusal(
+            ServerId("c"), FULL_LOAD_PER_SLOT, 2 * REFUSAL_WINDOW_SECONDS + 0.1
+        )
         self.assertLess(self.window.limit, before)
 
     def test_refusals_of_idle_servers_hold_nobody_back(self) -> None:
-        """All servers refuse half of their work for some seconds, with most of their slots free.
+        """Guards against a limit that shrinks when servers refuse with most of their slots free.
 
-        Shrunk to its equal part, the limit would make requests wait long after that is over.
+        All servers refuse half of their work for some seconds. Shrunk to the equal part, the limit
+        would make requests wait long after that is over.
         """
         before = self.window.limit
         for number in range(40):
--- a/packages/model/src/persimmonusher_model/routing.py
+++ b/packages/model/src/persimmonusher_model/routing.py
@@ -14,7 +14,7 @@
 from persimmonusher_model.identifiers import ServiceName
 from persimmonusher_model.organisations import Organisation, check_organisations
 
-LONGEST_TIMEOUT_MS: Final = 600_000
+MAX_TIMEOUT_MS: Final = 600_000
 """Ten minutes, as for a profile's deadline; it bounds the duration of a graceful stop."""
 
 
@@ -107,8 +107,8 @@
     if not rule.prefix.startswith("/"):
         message = f"{rule.prefix!r} must begin with a slash"
         yield Finding(ErrorCode.BAD_VALUE, f"{path}.prefix", message)
-    if not 0 < rule.timeout_ms <= LONGEST_TIMEOUT_MS:
-        message = f"{rule.timeout_ms} ms is not within 1 and {LONGEST_TIMEOUT_MS} ms"
+    if not 0 < rule.timeout_ms <= MAX_TIMEOUT_MS:
+        message = f"{rule.timeout_ms} ms is not within 1 and {MAX_TIMEOUT_MS} ms"
         yield Finding(ErrorCode.BAD_VALUE, f"{path}.timeout_ms", message)
     if not rule.services or sum(part.weight for part in rule.services) <= 0:
         message = "a route needs a service with a weight above 0"
--- a/packages/model/tests/test_comments.py
+++ b/packages/model/tests/test_comments.py
@@ -1,4 +1,4 @@
-"""Comments of shipped code explain it, and tell nothing of how a value was found."""
+"""Comments of shipped code must explain it, and must not say how a value was found."""
 
 import importlib.util
 import sys
--- a/packages/model/tests/test_organisations.py
+++ b/packages/model/tests/test_organisations.py
@@ -21,7 +21,7 @@
         self.assertIs(book.find(CallerId("berg")), BERG)
 
     def test_a_shared_key_or_name_is_found_with_its_place(self) -> None:
-        """Guards against a request that could be told to belong to either of two organisations."""
+        """Guards against a request that could be attributed to either of two organisations."""
         thief = Organisation(CallerId("thief"), (digest_key("t1"), digest_key("a1")))
         namesake = Organisation(CallerId("acme"), ())
         cases = [
@@ -35,7 +35,7 @@
                 self.assertEqual([finding.path for finding in findings], places)
 
     def test_no_key_shows_where_an_organisation_is_printed(self) -> None:
-        """Guards against keys in logs and crash reports, which print what is at hand."""
+        """Guards against API keys in logs and crash reports, which print objects by `repr`."""
         secret = "planted-key"
         shown = repr(Organisation(CallerId("acme"), (digest_key(secret),)))
         self.assertNotIn(secret, shown)
