--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -31,7 +31,8 @@
 CROWDED_LOAD_PER_SLOT: Final = 2.0
 """Load per slot of the least loaded trusted server above which suspected servers are used, by
 further attempts and in services without lookups: a request would wait for about one answer. With a
-lower value more requests reach a failing server, with a higher one more are refused in bursts."""
+lower value more requests reach a failing server, with a higher one more are refused in bursts.
+Above it no hedged copies are sent either."""
 BUSY_LOAD_PER_SLOT: Final = 1.0
 """Load per slot of the least loaded trusted server above which a request would have to wait. Then
 lookups, which can be retried, try suspected servers, and all requests may use the suspected servers
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -34,9 +34,9 @@
 the returns come too early: each of those costs a request, each late one leaves a healthy server
 idle."""
 MAX_DURATION_FACTOR: Final = 4.0
-"""Upper bound of the learned factor on the duration. The lower bound is 1, the profile's time:
-while the other servers have free slots, an earlier return gains nothing, and while they are busy,
-lookups bring it about."""
+"""Upper bound of the learned factor, and of any suspicion in multiples of `suspect_ms`. The lower
+bound of the factor is 1: while the other servers have free slots, an earlier return gains nothing,
+and while they are busy, lookups bring it about."""
 SMALL_SERVICE_SUSPECT_SHARE: Final = 0.56
 """Part of its servers up to which a small service may avoid `fewest_suspects` servers, whatever the
 floor."""
@@ -75,10 +75,10 @@
     a hundred requests. If each counted, so many healthy servers would be avoided that the floor
     would keep faulty ones in use. So it takes two.
 
-    A server that one instance can't reach may be reachable for all others. If links failed rather
-    than servers, all servers would soon be avoided everywhere, and the floor would keep faulty ones
-    in use. So the instance that can't reach a server avoids it at once, and the others only after
-    several such reports.
+    A server that one instance can't reach may be reachable for all others. If each report counted
+    when links fail and not servers, all servers would soon be avoided everywhere, and the floor
+    would keep faulty ones in use. So the instance that can't reach a server avoids it at once, and
+    the others only after several such reports.
 
     An overdue request makes the server suspected before it fails, but only at the instance that
     sent it: the network path between the two may drop packets, and further requests there would be
--- a/packages/decisions/src/persimmonusher_decisions/window.py
+++ b/packages/decisions/src/persimmonusher_decisions/window.py
@@ -67,10 +67,10 @@
             self._limit = 2.0 * self._smallest
         self._limit = min(self._largest, max(self._smallest, self._limit))
 
-    def record_answer(self, load_for_each_slot: float | None, in_progress: int, now: float) -> None:
+    def record_answer(self, load_per_slot: float | None, in_progress: int, now: float) -> None:
         """Adapt the limit to an answer; the load is None if the server reported none."""
-        if load_for_each_slot is not None:
-            report = min(MAX_REPORTED_LOAD_PER_SLOT, load_for_each_slot)
+        if load_per_slot is not None:
+            report = min(MAX_REPORTED_LOAD_PER_SLOT, load_per_slot)
             last = report if self._average_load is None else self._average_load
             self._average_load = last + NEWEST_REPORT_WEIGHT * (report - last)
         average_load = self._average_load
--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -112,9 +112,9 @@
         self._profile = profile
         self._servers = [make_server(index) for index in range(scene.servers)]
         self._instances = [self._make_instance(index) for index in range(scene.instances)]
-        self._awake_at = [0.0] * scene.instances
+        self._frozen_until = [0.0] * scene.instances
         cut = int(scene.cut_share * scene.instances)
-        self._hearing = self._random.sample(range(scene.instances), scene.instances - cut)
+        self._receivers = self._random.sample(range(scene.instances), scene.instances - cut)
 
     def _make_instance(self, index: int) -> ServiceTraffic:
         traffic = ServiceTraffic(
@@ -152,12 +152,12 @@
             rate *= self._scene.burst_factor
         self._after(self._random.expovariate(rate), self._arrive)
         index = self._random.randrange(self._scene.instances)
-        if self._awake_at[index] > self._now:
+        if self._frozen_until[index] > self._now:
             return
         request = make_request(
             f"r{next(self._numbers)}", self._now, idempotent=self._random.random() < 0.5
         )
-        self._follow(index, self._instances[index].offer(request, self._now))
+        self._apply_decision(index, self._instances[index].offer(request, self._now))
 
     def _disturb(self) -> None:
         """Restart an instance or freeze it for some seconds, and mark it as disturbed."""
@@ -166,15 +166,15 @@
         if self._random.random() < 0.5:
             self._instances[index] = self._make_instance(index)
         else:
-            self._awake_at[index] = self._now + self._random.uniform(0.3, 4.0)
+            self._frozen_until[index] = self._now + self._random.uniform(0.3, 4.0)
 
-    def _follow(self, index: int, decision: Decision) -> None:
+    def _apply_decision(self, index: int, decision: Decision) -> None:
         if isinstance(decision, Dispatch):
-            self._after(WAY_SECONDS, lambda: self._reach(index, decision))
+            self._after(WAY_SECONDS, lambda: self._arrive_at_server(index, decision))
         elif isinstance(decision, Refusal):
             self.seen.refused += 1
 
-    def _reach(self, index: int, dispatch: Dispatch) -> None:
+    def _arrive_at_server(self, index: int, dispatch: Dispatch) -> None:
         server_id = dispatch.server.server_id
         self.seen.arrivals.append(Arrival(server_id, index, self._now))
         # One request in fifty fails, and is retried if it is idempotent.
@@ -189,8 +189,8 @@
     def _answer(
         self, index: int, dispatch: Dispatch, kind: OutcomeKind, advice: ServerAdvice
     ) -> None:
-        if self._awake_at[index] > self._now:
-            again = self._awake_at[index] - self._now
+        if self._frozen_until[index] > self._now:
+            again = self._frozen_until[index] - self._now
             self._after(again, lambda: self._answer(index, dispatch, kind, advice))
             return
         if advice != SILENT:
@@ -203,24 +203,24 @@
         instance.take_advice(dispatch, advice, self._now)
         outcome = Outcome(kind, self._now - dispatch.started)
         for released in instance.finish(dispatch, outcome, self._now):
-            self._follow(index, released)
+            self._apply_decision(index, released)
         for notice in instance.take_notices():
-            self._tell(notice)
+            self._notify_others(notice)
         if kind is OutcomeKind.SUCCESS:
             self.seen.served += 1
         elif dispatch.request.idempotent or kind is OutcomeKind.REFUSED:
             again = instance.retry(dispatch, outcome, self._now)
             if isinstance(again, Dispatch) or kind is OutcomeKind.REFUSED:
-                self._follow(index, again)
+                self._apply_decision(index, again)
 
-    def _tell(self, notice: Notice) -> None:
-        for index in self._hearing:
+    def _notify_others(self, notice: Notice) -> None:
+        for index in self._receivers:
             if self._random.random() >= self._scene.lost_share:
-                late = max(0.0, self._awake_at[index] - self._now)
+                late = max(0.0, self._frozen_until[index] - self._now)
                 seconds = late + self._random.uniform(0.003, LONGEST_NOTICE_SECONDS)
-                self._after(seconds, lambda index=index: self._hear(index, notice))
+                self._after(seconds, lambda index=index: self._receive_notice(index, notice))
 
-    def _hear(self, index: int, notice: Notice) -> None:
+    def _receive_notice(self, index: int, notice: Notice) -> None:
         self._instances[index].apply_notice(notice, self._now)
 
     def _advance(self) -> None:
@@ -228,10 +228,10 @@
             return
         self._after(ADVANCE_SECONDS, self._advance)
         for index, instance in enumerate(self._instances):
-            if self._awake_at[index] > self._now:
+            if self._frozen_until[index] > self._now:
                 continue
             for decision in instance.advance(self._now):
-                self._follow(index, decision)
+                self._apply_decision(index, decision)
 
     def _miscount(self) -> None:
         counted = int(self._scene.counted_share * self._scene.instances)
--- a/packages/decisions/tests/fleet_simulation.py
+++ b/packages/decisions/tests/fleet_simulation.py
@@ -181,13 +181,13 @@
         instance = self._random.choice(self._instances)
         name = f"r{next(self._numbers)}"
         idempotent = self._random.random() < self._load.idempotent_share
-        self._ask(Caller(self._now, idempotent), instance, name)
+        self._send_request(Caller(self._now, idempotent), instance, name)
 
-    def _ask(self, caller: Caller, instance: ServiceTraffic, name: str) -> None:
+    def _send_request(self, caller: Caller, instance: ServiceTraffic, name: str) -> None:
         seconds = min(3.0, caller.arrived + self._load.patience - self._now)
         request = make_request(name, self._now, idempotent=caller.idempotent, seconds=seconds)
         self._callers[request.request_id] = caller
-        self._follow(instance, instance.offer(request, self._now))
+        self._apply_decision(instance, instance.offer(request, self._now))
 
     def _refuse(self, refusal: Refusal) -> None:
         """Have the caller retry after `retry_after`, at any instance, if it has time left."""
@@ -199,9 +199,9 @@
             return
         instance = self._random.choice(self._instances)
         name = f"r{next(self._numbers)}"
-        self._after(refusal.retry_after, lambda: self._ask(caller, instance, name))
+        self._after(refusal.retry_after, lambda: self._send_request(caller, instance, name))
 
-    def _follow(self, instance: ServiceTraffic, decision: Decision) -> None:
+    def _apply_decision(self, instance: ServiceTraffic, decision: Decision) -> None:
         if isinstance(decision, Refusal):
             self._refuse(decision)
         elif isinstance(decision, Dispatch):
@@ -245,15 +245,15 @@
     def _answer(self, instance: ServiceTraffic, dispatch: Dispatch, kind: OutcomeKind) -> None:
         outcome = Outcome(kind, self._now - dispatch.started)
         for released in instance.finish(dispatch, outcome, self._now):
-            self._follow(instance, released)
+            self._apply_decision(instance, released)
         for notice in instance.take_notices():
-            self._tell(notice)
+            self._notify_others(notice)
         again = kind is OutcomeKind.REFUSED or (
             kind is OutcomeKind.FAILURE and dispatch.request.idempotent
         )
         decision = instance.retry(dispatch, outcome, self._now) if again else None
         if isinstance(decision, Dispatch):
-            self._follow(instance, decision)
+            self._apply_decision(instance, decision)
             return
         if isinstance(decision, Refusal) and kind is OutcomeKind.REFUSED:
             self._refuse(decision)
@@ -263,7 +263,7 @@
             arrived = self._callers[dispatch.request.request_id].arrived
             self.served.seconds.append(self._now - arrived)
 
-    def _tell(self, notice: Notice) -> None:
+    def _notify_others(self, notice: Notice) -> None:
         def apply() -> None:
             for instance in self._instances:
                 instance.apply_notice(notice, self._now)
--- a/packages/decisions/tests/test_asking_series.py
+++ b/packages/decisions/tests/test_asking_series.py
@@ -16,7 +16,7 @@
 
 SEEDS = tuple(map(int, os.environ.get("ASKING_SEEDS", "1 2 3 4 5 6").split()))
 PROFILE = Profile(suspect_ms=4_000, hedge_slow=True, retry_slack=50, retry_budget_percent=20)
-SECONDS = 40.0
+RUN_SECONDS = 40.0
 STABLE_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 TOLD_SECONDS = 0.5
@@ -52,7 +52,7 @@
             )
         )
         if index == 0:
-            end, advice = SECONDS, ServerAdvice(is_leaving=True)
+            end, advice = RUN_SECONDS, ServerAdvice(is_leaving=True)
         wishes.append(Wish(ServerId(f"s{index}"), begin, end, advice))
     return wishes
 
@@ -62,7 +62,7 @@
         instances=random.choice((6, 36, 80)),
         servers=random.randint(2, 8),
         requests_a_second=random.choice((0.5, 2.0, 4.0)),
-        seconds=SECONDS,
+        seconds=RUN_SECONDS,
         lost_share=random.choice((0.0, 0.3, 0.9)),
         cut_share=random.choice((0.0, 0.3)),
         counted_share=random.choice((1.0, 0.6)),
--- a/packages/decisions/tests/test_assessor.py
+++ b/packages/decisions/tests/test_assessor.py
@@ -86,10 +86,10 @@
     def test_probes_decide_and_waits_grow(self) -> None:
         watch = Watch()
         watch.run(3.0, {})
-        ill = {3: (5, 1)}
+        faulty = {3: (5, 1)}
         states = []
         for _ in range(150):
-            verdict = watch.run(0.1, ill)
+            verdict = watch.run(0.1, faulty)
             states.append(verdict.ejections[0].state if verdict.ejections else None)
         changes = [index for index in range(1, 150) if states[index] is not states[index - 1]]
         probations = [index for index in changes if states[index] is EjectionState.PROBATION]
--- a/packages/decisions/tests/test_floor.py
+++ b/packages/decisions/tests/test_floor.py
@@ -39,30 +39,30 @@
     def setUp(self) -> None:
         self.traffic = make_traffic(6, Profile(health_floor_percent=60))
 
-    def _out(self) -> set[str]:
+    def _list_ejected(self) -> set[str]:
         statuses = self.traffic.describe(0.0)
         return {item.server.server_id for item in statuses if not item.taking_work}
 
     def test_one_assessor_at_a_time(self) -> None:
         self.traffic.apply_ejections(make_set(["s0", "s1"]), 0.0)
         self.traffic.apply_ejections(make_set(["s2", "s3"], assessor="b"), 1.0)
-        self.assertEqual(self._out(), {"s0", "s1"})
+        self.assertEqual(self._list_ejected(), {"s0", "s1"})
         self.traffic.advance(3.1)
         self.traffic.apply_ejections(make_set(["s2", "s3"], assessor="b"), 3.1)
-        self.assertEqual(self._out(), {"s2", "s3"})
+        self.assertEqual(self._list_ejected(), {"s2", "s3"})
 
     def test_floor_holds_against_own_view(self) -> None:
         self.traffic.apply_ejections(make_set(["s0", "s1", "s2", "s3", "s9"]), 0.0)
-        self.assertEqual(len(self._out()), 2)
+        self.assertEqual(len(self._list_ejected()), 2)
         held = [item.reason for item in self.traffic.describe(0.0) if "floor" in item.reason]
         self.assertEqual(len(held), 2)
 
     def test_lapsed_lease_and_old_sets(self) -> None:
         self.traffic.apply_ejections(make_set(["s0"], sequence=5, lease=3600.0), 0.0)
         self.traffic.apply_ejections(make_set(["s1"], sequence=4), 1.0)
-        self.assertEqual(self._out(), {"s0"})
+        self.assertEqual(self._list_ejected(), {"s0"})
         self.traffic.advance(10.1)
-        self.assertEqual(self._out(), set())
+        self.assertEqual(self._list_ejected(), set())
 
     def test_flapping_verdicts_keep_work_flowing(self) -> None:
         for step in range(40):
@@ -72,7 +72,7 @@
                 make_set(names, assessor=assessor, sequence=step), step * 1.0
             )
             self.traffic.advance(step * 1.0)
-            self.assertLessEqual(len(self._out()), 2)
+            self.assertLessEqual(len(self._list_ejected()), 2)
             dispatch = dispatched(self.traffic.offer(make_request(f"r{step}", step), step))
             self.traffic.finish(dispatch, GOOD, step)
 
--- a/packages/decisions/tests/test_heavy_load.py
+++ b/packages/decisions/tests/test_heavy_load.py
@@ -96,11 +96,11 @@
                 NoticeKind.FAILED, SERVICE, ServerId(f"s{number}"), 1, "", RequestId(f"f{number}")
             )
             traffic.apply_notice(notice, 1.0 + number * 0.01)
-        ill = {ServerId(f"s{number}") for number in range(6)}
+        faulty = {ServerId(f"s{number}") for number in range(6)}
         entries = (make_request(f"e{number}", 1.5, idempotent=False) for number in range(24))
         chosen = [dispatched(traffic.offer(entry, 1.5)).server.server_id for entry in entries]
-        self.assertFalse(ill & set(chosen[:9]), "the well ones have slots free")
-        self.assertEqual(ill & set(chosen), {ServerId("s0")}, "the one whose failure is oldest")
+        self.assertFalse(faulty & set(chosen[:9]), "the healthy ones have free slots")
+        self.assertEqual(faulty & set(chosen), {ServerId("s0")}, "the one with the oldest failure")
 
 
 class BurstTest(unittest.TestCase):
@@ -142,33 +142,33 @@
         self.assertEqual(traffic.find_seconds_passed_by(lost.server.server_id, 1.8), 0.0)
         traffic.advance(2.1)
         self.assertGreater(traffic.find_seconds_passed_by(lost.server.server_id, 2.1), 0.0)
-        self.assertEqual(traffic.take_notices(), (), "one in forty is slow by itself")
+        self.assertEqual(traffic.take_notices(), (), "one in forty is slow without fault")
 
 
 class RecoveryTest(unittest.TestCase):
     def setUp(self) -> None:
         self.traffic = make_traffic(3, PROFILE)
-        self.ill = self.tell(NoticeKind.FAILED, "f", 1.0).server_id
+        self.faulty = self.send_notice(NoticeKind.FAILED, "f", 1.0).server_id
 
-    def tell(self, kind: NoticeKind, name: str, now: float, seconds: float = 0.0) -> Notice:
+    def send_notice(self, kind: NoticeKind, name: str, now: float, seconds: float = 0.0) -> Notice:
         server = "s0"
         notice = Notice(kind, SERVICE, ServerId(server), 1, "", RequestId(name), seconds)
         self.traffic.apply_notice(notice, now)
         return notice
 
     def find_seconds(self, now: float) -> float:
-        return self.traffic.find_seconds_passed_by(self.ill, now)
+        return self.traffic.find_seconds_passed_by(self.faulty, now)
 
     def test_a_recovery_is_believed_unless_a_failure_is_newer(self) -> None:
         """A server answers one lookup, and fails the next before that answer has arrived."""
-        self.tell(NoticeKind.RECOVERED, "v", 2.0, seconds=0.4)
-        self.tell(NoticeKind.FAILED, "g", 3.0)
-        self.tell(NoticeKind.RECOVERED, "w", 3.2, seconds=0.4)
+        self.send_notice(NoticeKind.RECOVERED, "v", 2.0, seconds=0.4)
+        self.send_notice(NoticeKind.FAILED, "g", 3.0)
+        self.send_notice(NoticeKind.RECOVERED, "w", 3.2, seconds=0.4)
         self.assertGreater(self.find_seconds(3.3), 0.0)
-        self.tell(NoticeKind.RECOVERED, "x", 5.2, seconds=0.4)
-        self.tell(NoticeKind.RECOVERED, "x", 5.2, seconds=0.4)
-        self.assertGreater(self.find_seconds(5.3), 0.0, "told twice")
-        self.tell(NoticeKind.RECOVERED, "y", 5.4, seconds=0.4)
+        self.send_notice(NoticeKind.RECOVERED, "x", 5.2, seconds=0.4)
+        self.send_notice(NoticeKind.RECOVERED, "x", 5.2, seconds=0.4)
+        self.assertGreater(self.find_seconds(5.3), 0.0, "a duplicate notice")
+        self.send_notice(NoticeKind.RECOVERED, "y", 5.4, seconds=0.4)
         self.assertEqual(self.find_seconds(5.5), 0.0)
 
     def test_how_long_servers_stay_ill_is_learned(self) -> None:
@@ -178,7 +178,7 @@
         """
         now = 1.0
         for round_number in range(6):
-            self.tell(NoticeKind.FAILED, f"r{round_number}", now)
+            self.send_notice(NoticeKind.FAILED, f"r{round_number}", now)
             now += self.find_seconds(now) + 0.5
         other = Notice(NoticeKind.FAILED, SERVICE, ServerId("s1"), 1, "", RequestId("o"))
         self.traffic.apply_notice(other, now)
@@ -187,7 +187,7 @@
     def test_a_good_answer_to_a_lookup_sent_before_the_failure_proves_nothing(self) -> None:
         dispatch = dispatched(self.traffic.offer(make_request("r", 1.1), 1.1))
         self.traffic.finish(dispatch, GOOD, 1.2)
-        self.tell(NoticeKind.FAILED, "g", 1.3)
+        self.send_notice(NoticeKind.FAILED, "g", 1.3)
         self.assertGreater(self.find_seconds(1.4), 0.0)
         self.assertEqual(self.traffic.take_notices(), ())
 
@@ -196,7 +196,7 @@
     def setUp(self) -> None:
         self.traffic = make_traffic(6, PROFILE)
 
-    def tell(self, name: str, now: float) -> float:
+    def send_notice(self, name: str, now: float) -> float:
         notice = Notice(NoticeKind.UNREACHED, SERVICE, ServerId("s0"), 1, "", RequestId(name))
         self.traffic.apply_notice(notice, now)
         return self.traffic.find_seconds_passed_by(ServerId("s0"), now)
@@ -208,15 +208,15 @@
         counted everywhere, nearly every server would soon be avoided by all, and the floor would
         keep those in use that are really faulty.
         """
-        self.assertEqual(self.tell("a", 1.0), 0.0)
-        self.assertEqual(self.tell("b", 1.1), 0.0)
-        self.assertEqual(self.tell("c", 2.3), 0.0, "a second later")
+        self.assertEqual(self.send_notice("a", 1.0), 0.0)
+        self.assertEqual(self.send_notice("b", 1.1), 0.0)
+        self.assertEqual(self.send_notice("c", 2.3), 0.0, "a second later")
 
     def test_what_several_cannot_reach_is_gone(self) -> None:
-        self.assertEqual(self.tell("a", 1.0), 0.0)
-        self.assertEqual(self.tell("a", 1.1), 0.0, "the same, told twice")
-        self.assertEqual(self.tell("b", 1.2), 0.0)
-        self.assertGreater(self.tell("c", 1.3), 0.0)
+        self.assertEqual(self.send_notice("a", 1.0), 0.0)
+        self.assertEqual(self.send_notice("a", 1.1), 0.0, "a duplicate notice")
+        self.assertEqual(self.send_notice("b", 1.2), 0.0)
+        self.assertGreater(self.send_notice("c", 1.3), 0.0)
 
     def test_the_instance_that_cannot_reach_a_server_passes_it_by(self) -> None:
         dispatch = dispatched(self.traffic.offer(make_request("r", 1.0), 1.0))
--- a/packages/decisions/tests/test_penalties.py
+++ b/packages/decisions/tests/test_penalties.py
@@ -11,10 +11,10 @@
 PROFILE = Profile(suspect_ms=4_000)
 RETURN_SECONDS = 12.0
 """Four times the time constant of a penalty; the share is counted after it."""
-WATCHED_SECONDS = 20.0
-FAIR = 0.5
+COUNTED_SECONDS = 20.0
+MIN_FAIR_SHARE = 0.5
 """Least part of an equal share that a healthy server must get."""
-WELL = Outcome(OutcomeKind.SUCCESS, 0.02)
+SUCCESS = Outcome(OutcomeKind.SUCCESS, 0.02)
 KINDS = (OutcomeKind.REFUSED, OutcomeKind.FAILURE, OutcomeKind.TIMEOUT)
 
 
@@ -27,7 +27,7 @@
         traffic.finish(bad, Outcome(kind, 0.6), 0.6)
         chosen: list[ServerId] = []
         in_flight = []
-        steps = int((RETURN_SECONDS + WATCHED_SECONDS) / gap)
+        steps = int((RETURN_SECONDS + COUNTED_SECONDS) / gap)
         for number in range(steps):
             now = 1.0 + number * gap
             sent = dispatched(traffic.offer(make_request(f"r{number}", now), now))
@@ -35,7 +35,7 @@
             if now > RETURN_SECONDS:
                 chosen.append(sent.server.server_id)
             if len(in_flight) >= at_once:
-                traffic.finish(in_flight.pop(0), WELL, now + 0.5 * gap)
+                traffic.finish(in_flight.pop(0), SUCCESS, now + 0.5 * gap)
             traffic.advance(now)
         return chosen.count(marked) * servers / len(chosen)
 
@@ -43,19 +43,19 @@
     def test_a_well_server_gets_its_share_again_at_one_request_at_a_time(self) -> None:
         for kind in KINDS:
             with self.subTest(kind=kind):
-                self.assertGreater(self.find_share(kind, 3, 0.1, 1), FAIR)
+                self.assertGreater(self.find_share(kind, 3, 0.1, 1), MIN_FAIR_SHARE)
 
     # Guards against the same when each server gets only one request in half a minute.
     def test_a_well_server_gets_its_share_again_among_many(self) -> None:
         for kind in KINDS:
             with self.subTest(kind=kind):
-                self.assertGreater(self.find_share(kind, 149, 0.01, 1), FAIR)
+                self.assertGreater(self.find_share(kind, 149, 0.01, 1), MIN_FAIR_SHARE)
 
     # Guards against the same while requests are in progress.
     def test_a_well_server_gets_its_share_again_under_load(self) -> None:
         for kind in KINDS:
             with self.subTest(kind=kind):
-                self.assertGreater(self.find_share(kind, 6, 0.02, 12), FAIR)
+                self.assertGreater(self.find_share(kind, 6, 0.02, 12), MIN_FAIR_SHARE)
 
 
 class ReportedLoadTest(unittest.TestCase):
@@ -68,13 +68,13 @@
         for number in range(400):
             now = 1.0 + 0.1 * number
             sent = dispatched(traffic.offer(make_request(f"r{number}", now), now))
-            traffic.finish(sent, WELL, now + 0.02)
+            traffic.finish(sent, SUCCESS, now + 0.02)
             traffic.apply_loads({})
             traffic.advance(now)
             chosen.append(sent.server.server_id)
         late = chosen[-200:]
         for server in servers:
-            self.assertGreater(late.count(server), FAIR * len(late) / len(servers))
+            self.assertGreater(late.count(server), MIN_FAIR_SHARE * len(late) / len(servers))
 
 
 if __name__ == "__main__":
--- a/packages/decisions/tests/test_rate_limits.py
+++ b/packages/decisions/tests/test_rate_limits.py
@@ -24,8 +24,8 @@
     """Simulate a fleet in which one server names a limit from NAMED_AT to `until`."""
 
     def advise(server_id: ServerId, now: float) -> ServerAdvice:
-        names = server_id == LIMITED and NAMED_AT <= now < until
-        return ServerAdvice(rate_limit=rate) if names else SILENT
+        has_limit = server_id == LIMITED and NAMED_AT <= now < until
+        return ServerAdvice(rate_limit=rate) if has_limit else SILENT
 
     return AskingServers(scene, PROFILE, advise, seed).run()
 
--- a/packages/decisions/tests/test_rests.py
+++ b/packages/decisions/tests/test_rests.py
@@ -65,7 +65,7 @@
     def setUp(self) -> None:
         self.traffic = make_traffic(servers=2, profile=PROFILE)
 
-    def turn_away(self, traffic: ServiceTraffic, now: float) -> ServerId:
+    def ask_for_rest(self, traffic: ServiceTraffic, now: float) -> ServerId:
         """Have the server that gets the next request refuse it and ask for 3 s of rest."""
         sent = dispatched(traffic.offer(make_request(f"t{now}", now), now))
         traffic.take_advice(sent, REST, now)
@@ -81,15 +81,15 @@
 
     # Guards against a rest that is respected only while there is another server.
     def test_the_last_server_left_is_not_used_in_its_rest(self) -> None:
-        self.turn_away(self.traffic, 1.0)
-        self.turn_away(self.traffic, 1.1)
+        self.ask_for_rest(self.traffic, 1.0)
+        self.ask_for_rest(self.traffic, 1.1)
         for moment in range(14):
             self.assertIsNone(self.choose(1.2 + 0.2 * moment, idempotent=bool(moment % 2)))
 
     # Guards against requests that wait for servers that rest beyond the requests' deadlines.
     def test_a_request_is_refused_at_once_with_the_time_of_the_first_to_return(self) -> None:
-        self.turn_away(self.traffic, 1.0)
-        self.turn_away(self.traffic, 2.0)
+        self.ask_for_rest(self.traffic, 1.0)
+        self.ask_for_rest(self.traffic, 2.0)
         decision = self.traffic.offer(make_request("r", 2.5), 2.5)
         assert isinstance(decision, Refusal), decision
         self.assertAlmostEqual(decision.retry_after, 1.5)
@@ -117,7 +117,7 @@
 
     # Guards against a short retry-after while all servers rest.
     def test_a_request_that_the_last_server_turned_away_comes_back_after_the_rest(self) -> None:
-        self.turn_away(self.traffic, 1.0)
+        self.ask_for_rest(self.traffic, 1.0)
         sent = dispatched(self.traffic.offer(make_request("r", 1.5), 1.5))
         outcome = Outcome(OutcomeKind.REFUSED, 0.001)
         self.traffic.take_advice(sent, REST, 1.5)
@@ -139,7 +139,7 @@
     # Guards against using a turn at a limited server that begins while the server rests.
     def test_a_turn_does_not_end_a_rest(self) -> None:
         traffic = make_traffic(servers=1, profile=PROFILE)
-        resting = self.turn_away(traffic, 1.0)
+        resting = self.ask_for_rest(traffic, 1.0)
         for moment in range(70):
             now = 1.05 + 0.04 * moment
             rate = 40.0 + moment % 2
@@ -151,7 +151,7 @@
 
     # Guards against a rest that is lost when servers, the profile or the fleet's size change.
     def test_changes_of_servers_and_profile_do_not_end_a_rest(self) -> None:
-        resting = self.turn_away(self.traffic, 1.0)
+        resting = self.ask_for_rest(self.traffic, 1.0)
         self.traffic.replace_servers([make_server(index) for index in range(3)], 1.5)
         self.traffic.replace_profile(Profile())
         self.traffic.replace_entry_count(7)
@@ -161,13 +161,13 @@
     # Guards against a rest that outlives the boot of the server that asked for it.
     def test_a_server_that_has_started_again_owes_nothing(self) -> None:
         traffic = make_traffic(servers=1, profile=PROFILE)
-        self.turn_away(traffic, 1.0)
+        self.ask_for_rest(traffic, 1.0)
         traffic.replace_servers([make_server(0, boot=2)], 1.5)
         dispatched(traffic.offer(make_request("r", 1.6), 1.6))
 
     # Guards against a suspected server being tried by a lookup while it rests.
     def test_a_lookup_does_not_prove_a_resting_server(self) -> None:
-        resting = self.turn_away(self.traffic, 1.0)
+        resting = self.ask_for_rest(self.traffic, 1.0)
         notice = Notice(NoticeKind.FAILED, SERVICE, resting, 1, "", RequestId("f"))
         self.traffic.apply_notice(notice, 1.0)
         for number in range(40):
--- a/packages/decisions/tests/test_retries.py
+++ b/packages/decisions/tests/test_retries.py
@@ -9,7 +9,7 @@
 from persimmonusher_model.profile import Profile
 
 INSTANCES = 48
-SECONDS = 40
+TEST_SECONDS = 40
 SLACK = 64
 
 
@@ -38,7 +38,7 @@
         served = asked = 0
         for instance in range(INSTANCES):
             traffic = make_traffic(6, Profile(retry_budget_percent=18, retry_slack=SLACK), 48)
-            for step in range(SECONDS // 2):
+            for step in range(TEST_SECONDS // 2):
                 now = 2.0 * step + random.random()
                 good, _ = run_request(traffic, f"{instance}-{step}", now, random.random() < 0.125)
                 served += good
@@ -68,7 +68,7 @@
                 traffic = make_traffic(6, profile, 48)
                 firsts: list[float] = []
                 further: list[float] = []
-                for number in range(int(SECONDS * rate)):
+                for number in range(int(TEST_SECONDS * rate)):
                     now = number / rate
                     _, spent = run_request(traffic, f"r{number}", now, True)
                     firsts.append(now)
--- a/packages/decisions/tests/test_suspicion.py
+++ b/packages/decisions/tests/test_suspicion.py
@@ -56,13 +56,13 @@
         first, second = make_traffic(6, SUSPECTING), make_traffic(6, SUSPECTING)
         dispatch = dispatched(first.offer(make_request("r"), 0.0))
         first.finish(dispatch, FAILED, 0.0)
-        ill = dispatch.server.server_id
+        faulty = dispatch.server.server_id
         (notice,) = first.take_notices()
-        self.assertEqual((notice.server_id, notice.kind), (ill, NoticeKind.FAILED))
+        self.assertEqual((notice.server_id, notice.kind), (faulty, NoticeKind.FAILED))
         second.apply_notice(notice, 0.01)
         for traffic in (first, second):
-            self.assertEqual(serve(traffic, 60, 0.02)[ill], 0)
-        self.assertGreater(serve(second, 60, 0.1 + HOLD_SECONDS)[ill], 0)
+            self.assertEqual(serve(traffic, 60, 0.02)[faulty], 0)
+        self.assertGreater(serve(second, 60, 0.1 + HOLD_SECONDS)[faulty], 0)
         self.assertEqual(first.take_notices(), ())
 
     def test_the_floor_keeps_servers_when_most_fail(self) -> None:
@@ -75,8 +75,8 @@
         for server in range(10):
             traffic.apply_notice(make_notice(server), 0.1 * server)
         chosen = serve(traffic, 200, 1.0)
-        passed_by = {f"s{number}" for number in range(6, 10)}
-        self.assertEqual(set(chosen) & passed_by, set())
+        avoided = {f"s{number}" for number in range(6, 10)}
+        self.assertEqual(set(chosen) & avoided, set())
         self.assertGreater(len(chosen), 1)
 
     def test_a_further_attempt_goes_to_no_server_that_the_floor_spares(self) -> None:
@@ -86,18 +86,18 @@
         fails on one of them and its only further attempt on the next, its caller gets an error
         while healthy servers have free slots.
         """
-        for ill in range(10):
+        for faulty in range(10):
             traffic = make_traffic(10, SUSPECTING)
             dispatch = dispatched(traffic.offer(make_request("r"), 0.0))
             names = [f"s{number}" for number in range(10)]
             names.remove(dispatch.server.server_id)
-            well = set(names[ill % 7 : ill % 7 + 3])
+            healthy = set(names[faulty % 7 : faulty % 7 + 3])
             for name in names:
-                if name not in well:
+                if name not in healthy:
                     traffic.apply_notice(make_notice(int(name[1:])), 0.1)
             traffic.finish(dispatch, FAILED, 0.2)
             again = dispatched(traffic.retry(dispatch, FAILED, 0.2))
-            self.assertIn(again.server.server_id, well)
+            self.assertIn(again.server.server_id, healthy)
 
     def test_work_goes_on_when_every_server_is_passed_by_and_busy(self) -> None:
         """Guards against holding requests back when all servers are suspected and busy.
@@ -127,7 +127,7 @@
         self.assertAlmostEqual(
             traffic.find_seconds_passed_by(ServerId("s0"), 100.0),
             HOLD_SECONDS * learned,
-            msg="a new illness, by what the others lasted",
+            msg="a new fault, for the learned duration",
         )
 
     def test_a_notice_of_an_earlier_start_is_void(self) -> None:
@@ -216,7 +216,7 @@
         for traffic in (first, second):
             traffic.apply_notice(notice, 1.1)
             seconds = traffic.find_seconds_passed_by(notice.server_id, 1.2)
-            self.assertEqual(seconds, 0.0, "told back, or twice")
+            self.assertEqual(seconds, 0.0, "its own notice sent back, or a single one")
         self.assertGreater(serve(second, 60, 1.2)[notice.server_id], 0)
 
     def test_a_second_late_failure_turns_all_away(self) -> None:
@@ -268,10 +268,10 @@
         costs one entry; in addition, one entry in a hundred fails by itself.
         """
         load = Load(requests_a_second=90.0)
-        blind = self.play(load, self.profile.model_copy(update={"suspect_ms": 0}))
-        told = self.play(load, self.profile)
-        self.assertLess(told.failed_share, 0.04)
-        self.assertLess(told.failed_share, 0.4 * blind.failed_share)
+        unnotified = self.play(load, self.profile.model_copy(update={"suspect_ms": 0}))
+        notified = self.play(load, self.profile)
+        self.assertLess(notified.failed_share, 0.04)
+        self.assertLess(notified.failed_share, 0.4 * unnotified.failed_share)
 
     def test_a_burst_may_use_servers_that_were_ill(self) -> None:
         """Guards against refusals in a burst while servers that have recovered are idle.
--- a/packages/decisions/tests/test_traffic.py
+++ b/packages/decisions/tests/test_traffic.py
@@ -262,7 +262,7 @@
     milliseconds.
     """
 
-    def _crash(self, traffic: ServiceTraffic, name: str, now: float) -> int:
+    def _count_lost_servers(self, traffic: ServiceTraffic, name: str, now: float) -> int:
         lost = 0
         decision = traffic.offer(make_request(name, now, fingerprint="bad"), now)
         broken = Outcome(OutcomeKind.BROKEN, 0.01)
@@ -274,7 +274,7 @@
 
     def test_servers_lost_are_bounded(self) -> None:
         traffic = make_traffic(6)
-        lost = sum(self._crash(traffic, f"r{step}", float(step)) for step in range(10))
+        lost = sum(self._count_lost_servers(traffic, f"r{step}", float(step)) for step in range(10))
         self.assertEqual(lost, DETECTION_FIRST.crash_strikes)
         refusal = traffic.offer(make_request("again", 11.0, fingerprint="bad"), 11.0)
         assert isinstance(refusal, Refusal)
@@ -318,8 +318,8 @@
         traffic.advance(3.5)
         digest = traffic.digest(3.5)
         assert digest is not None
-        told = {line.server_id: line.failed for line in digest.servers}
-        self.assertEqual(told[held[0].server.server_id], 1)
+        failed_by_server = {line.server_id: line.failed for line in digest.servers}
+        self.assertEqual(failed_by_server[held[0].server.server_id], 1)
 
 
 if __name__ == "__main__":
--- a/packages/decisions/tests/test_well_servers.py
+++ b/packages/decisions/tests/test_well_servers.py
@@ -52,12 +52,12 @@
         """Return, by window, the part of the servers healthy in it and before that got requests."""
         shares = []
         for window in range(2, int(self._load.seconds / WINDOW_SECONDS)):
-            well = [name for name in self._servers if self._is_well(name, window)]
-            used = sum(name in self.reached[window] for name in well)
-            shares.append(used / len(well))
+            healthy = [name for name in self._servers if self._is_healthy(name, window)]
+            used = sum(name in self.reached[window] for name in healthy)
+            shares.append(used / len(healthy))
         return shares
 
-    def _is_well(self, name: ServerId, window: int) -> bool:
+    def _is_healthy(self, name: ServerId, window: int) -> bool:
         """Return whether a server was healthy in a window and the one before."""
         begin = (window - 1) * WINDOW_SECONDS
         moments = [begin + 0.25 * step for step in range(16)]
