--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -230,7 +230,7 @@
                 f"{self._held_back} more of {len(self._slots)} servers look ill and stay in place "
                 f"for the floor of {self._floor_percent}%: so many at once point to a common cause"
             )
-        middle = self._views[EVERYWHERE].middle_failing
+        middle = self._views[EVERYWHERE].median_failing
         if middle >= COMMON_CAUSE_SHARE:
             notes.append(
                 f"the middle server fails {middle:.0%} of its work, a common cause such as a "
--- a/packages/decisions/src/persimmonusher_decisions/peers.py
+++ b/packages/decisions/src/persimmonusher_decisions/peers.py
@@ -116,7 +116,7 @@
         self.servers: dict[ServerId, ServerView] = {}
         self.usual_failing = MIN_USUAL_FAILING_SHARE
         self.usual_slow = MIN_USUAL_SLOW_SHARE
-        self.middle_failing = 0.0
+        self.median_failing = 0.0
 
     def keep_servers(self, server_ids: Iterable[ServerId]) -> None:
         """Drop the servers that aren't in `server_ids`."""
@@ -163,7 +163,7 @@
     def _learn_usual(self) -> None:
         failing = [server.failing for server in self.servers.values()]
         slow = [server.slow for server in self.servers.values()]
-        self.middle_failing = _find_median([item.recent for item in failing])
+        self.median_failing = _find_median([item.recent for item in failing])
         self.usual_failing = max(MIN_USUAL_FAILING_SHARE, _find_usual(failing))
         self.usual_slow = max(MIN_USUAL_SLOW_SHARE, _find_usual(slow))
 
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -154,21 +154,23 @@
         if best is not None and best.load <= BUSY_LOAD_PER_SLOT:
             return best
         if idempotent and best is not None:
-            proved = self._find_suspect_to_try(now)
-            if proved is not None:
-                return proved
+            suspect = self._find_suspect_to_try(now)
+            if suspect is not None:
+                return suspect
         candidates = self._pick_candidates()
         if best is not None and (
             best.load <= CROWDED_LOAD_PER_SLOT or self._has_recent_lookup(now)
         ):
-            spared = [track for track in candidates if track.spared and track.is_suspected(now)]
-            other = self._find_least_loaded(spared, None, now)
+            kept = [
+                track for track in candidates if track.is_kept_in_use and track.is_suspected(now)
+            ]
+            other = self._find_least_loaded(kept, None, now)
             return (
                 other
                 if other is not None and other.load < best.load - SPARED_LOAD_MARGIN_PER_SLOT
                 else best
             )
-        trusted = [track for track in candidates if not track.is_passed_by(now)]
+        trusted = [track for track in candidates if not track.is_avoided(now)]
         return self._choose_among(trusted, candidates, None, now)
 
     def _find_suspect_to_try(self, now: float) -> ServerTrack | None:
--- a/packages/decisions/src/persimmonusher_decisions/quarantine.py
+++ b/packages/decisions/src/persimmonusher_decisions/quarantine.py
@@ -118,7 +118,7 @@
         if len(broken_servers) >= self._strikes:
             self._quarantined_until[fingerprint] = now + self._seconds
 
-    def note_strike(self, fingerprint: str, server_id: ServerId, now: float) -> None:
+    def record_remote_break(self, fingerprint: str, server_id: ServerId, now: float) -> None:
         """Record a break that another instance saw."""
         if fingerprint in self._succeeded or fingerprint in self._succeeded_before:
             return
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -190,7 +190,7 @@
         """
         if not profile.suspect_ms:
             return False
-        is_news = not track.is_passed_by(now)
+        is_news = not track.is_avoided(now)
         seconds = self._duration_factor * profile.suspect_ms / 1000.0
         if not track.is_suspected(now):
             in_a_row = now - track.suspect_until < seconds
@@ -200,13 +200,13 @@
         track.suspected_at = now
         longest = MAX_DURATION_FACTOR * profile.suspect_ms / 1000.0
         track.suspect_until = now + min(longest, seconds * 2 ** (track.suspicions - 1))
-        track.spared = False
-        suspected = [item for item in tracks if item.is_passed_by(now)]
+        track.is_kept_in_use = False
+        suspected = [item for item in tracks if item.is_avoided(now)]
         allowed = find_max_suspects(len(tracks), profile)
         if len(suspected) > allowed:
             suspected.sort(key=lambda item: item.suspected_at)
             for item in suspected[: len(suspected) - allowed]:
-                item.spared = True
+                item.is_kept_in_use = True
         return is_news
 
     @staticmethod
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -11,7 +11,7 @@
 class ServerTrack:
     """Mutable state of one server at one instance; the hot path reads its attributes directly.
 
-    `base`, `inverse` and `bias` are the parts of the placement score that change rarely.
+    `base`, `inverse` and `bias` are the precomputed parts of the placement score.
     `answered`, `failed`, `timed` and `slow` count evidence for the next digest.
     """
 
@@ -38,12 +38,12 @@
         "server",
         "server_id",
         "slow",
-        "spared",
+        "is_kept_in_use",
         "slots",
         "suspect_until",
         "suspected_at",
         "suspicions",
-        "told_at",
+        "evidence_sent_at",
         "turn_at",
         "timed",
     )
@@ -71,10 +71,11 @@
         self.failed = 0
         self.timed = 0
         self.slow = 0
-        self.told_at = now
+        self.evidence_sent_at = now
         self.doubts = Doubts()
         self.suspect_until = now
-        """End of the current suspicion; until then the server is avoided, unless `spared`."""
+        """End of the current suspicion; until then first attempts avoid the server, unless
+        `is_kept_in_use`."""
         self.suspected_at = now
         """When the server was last suspected, because an instance saw it fail."""
         self.suspicions = 0
@@ -91,7 +92,7 @@
         limit."""
         self.resting_until = -inf
         """End of the rest that the server asked this instance for."""
-        self.spared = False
+        self.is_kept_in_use = False
         """Whether it gets first attempts although suspected, as too many servers are suspected."""
 
     @property
@@ -128,9 +129,9 @@
         """Return whether the server is suspected, because an instance recently saw it fail."""
         return self.suspect_until > now
 
-    def is_passed_by(self, now: float) -> bool:
-        """Return whether first attempts avoid the server: suspected, and not spared."""
-        return self.suspect_until > now and not self.spared
+    def is_avoided(self, now: float) -> bool:
+        """Return whether first attempts avoid the server: suspected, and not kept in use."""
+        return self.suspect_until > now and not self.is_kept_in_use
 
     @property
     def is_ready(self) -> bool:
@@ -146,5 +147,5 @@
         """Return the unsent evidence and reset its counts."""
         line = ServerEvidence(self.server_id, self.answered, self.failed, self.timed, self.slow)
         self.answered = self.failed = self.timed = self.slow = 0
-        self.told_at = now
+        self.evidence_sent_at = now
         return line
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -207,13 +207,13 @@
             self._limits.count_entries(self._live, now)
             return self._advice.take_notice(notice, track, now)
         if notice.kind is NoticeKind.CRASHED:
-            self._quarantine.note_strike(notice.fingerprint, notice.server_id, now)
+            self._quarantine.record_remote_break(notice.fingerprint, notice.server_id, now)
         return self._suspicion.take(notice, track, self._tracks.values(), self._profile, now)
 
     def find_seconds_passed_by(self, server_id: ServerId, now: float) -> float:
         """Return the seconds for which first attempts still avoid a suspected server, or 0."""
         track = self._tracks.get(server_id)
-        if track is None or not track.is_passed_by(now):
+        if track is None or not track.is_avoided(now):
             return 0.0
         return track.suspect_until - now
 
@@ -372,8 +372,8 @@
     def _drop_draining(self, dispatch: Dispatch, now: float) -> None:
         """Stop sending work to a server whose answer says that it is leaving.
 
-        The directory may list it for some seconds more; an older announcement of the same boot
-        doesn't bring it back.
+        The directory may list it as ready for some seconds more; no announcement of the same boot
+        brings it back.
         """
         track = self._tracks.get(dispatch.server.server_id)
         if track is not None and track.server.boot_id == dispatch.server.boot_id:
--- a/packages/decisions/tests/ablation.py
+++ b/packages/decisions/tests/ablation.py
@@ -61,7 +61,7 @@
 
 def take_trusted(self: Any, servers: Any, now: float) -> Any:
     """Replace `_pick_unsuspected`: suspected servers that the floor keeps in use are included."""
-    trusted = [track for track in servers if not track.is_passed_by(now)]
+    trusted = [track for track in servers if not track.is_avoided(now)]
     return self._random.sample(trusted, min(placement.COMPARED_SERVERS, len(trusted)))
 
 
--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -80,7 +80,7 @@
         """List the requests that reached a server."""
         return [arrival for arrival in self.arrivals if arrival.server_id == server_id]
 
-    def list_told_arrivals(self, server_id: ServerId, told_seconds: float) -> list[Arrival]:
+    def list_informed_arrivals(self, server_id: ServerId, told_seconds: float) -> list[Arrival]:
         """List the requests from instances that had the server's answer `told_seconds` before."""
         told = self.told.get(server_id, {})
         never = float("inf")
--- a/packages/decisions/tests/test_asking_series.py
+++ b/packages/decisions/tests/test_asking_series.py
@@ -73,7 +73,9 @@
 class AskingSeriesTest(unittest.TestCase):
     def check_limit(self, seen: Seen, wish: Wish) -> None:
         rate = wish.advice.rate_limit or 0.0
-        counted = [arrival.at for arrival in seen.list_told_arrivals(wish.server_id, TOLD_SECONDS)]
+        counted = [
+            arrival.at for arrival in seen.list_informed_arrivals(wish.server_id, TOLD_SECONDS)
+        ]
         for end in counted:
             if wish.begin + WORK_SECONDS + STABLE_SECONDS <= end < wish.end:
                 count = sum(end - WINDOW_SECONDS < at <= end for at in counted)
@@ -92,7 +94,7 @@
             self.assertLessEqual(count, SENT_IN_REST, rest)
 
     def check_leaving(self, seen: Seen, wish: Wish) -> None:
-        late = seen.list_told_arrivals(wish.server_id, DRAIN_SECONDS)
+        late = seen.list_informed_arrivals(wish.server_id, DRAIN_SECONDS)
         self.assertEqual(late, [], wish)
 
     # Guards against limits, rests or leaving being ignored while instances restart or miss notices.
--- a/packages/decisions/tests/test_rate_limits.py
+++ b/packages/decisions/tests/test_rate_limits.py
@@ -32,7 +32,7 @@
 
 def find_largest_window(seen: Seen, told_only: bool) -> int:
     """Return the most requests in a window, of all instances or of those told of the limit."""
-    told = seen.list_told_arrivals(LIMITED, TOLD_SECONDS)
+    told = seen.list_informed_arrivals(LIMITED, TOLD_SECONDS)
     begin = NAMED_AT + WORK_SECONDS + TOLD_SECONDS
     every = [arrival for arrival in seen.list_arrivals(LIMITED) if arrival.at >= begin]
     counted = [arrival.at for arrival in (told if told_only else every)]
