--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -161,9 +161,7 @@
         if best is not None and (
             best.load <= CROWDED_LOAD_PER_SLOT or self._has_recent_lookup(now)
         ):
-            kept = [
-                track for track in candidates if track.is_kept_in_use and track.is_suspected(now)
-            ]
+            kept = [track for track in candidates if track.spared and track.is_suspected(now)]
             other = self._find_least_loaded(kept, None, now)
             return (
                 other
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -38,12 +38,12 @@
         "server",
         "server_id",
         "slow",
-        "is_kept_in_use",
+        "spared",
         "slots",
         "suspect_until",
         "suspected_at",
         "suspicions",
-        "evidence_sent_at",
+        "told_at",
         "turn_at",
         "timed",
     )
@@ -71,11 +71,11 @@
         self.failed = 0
         self.timed = 0
         self.slow = 0
-        self.evidence_sent_at = now
+        self.told_at = now
         self.doubts = Doubts()
         self.suspect_until = now
         """End of the current suspicion; until then first attempts avoid the server, unless
-        `is_kept_in_use`."""
+        `spared`."""
         self.suspected_at = now
         """When the server was last suspected, because an instance saw it fail."""
         self.suspicions = 0
@@ -92,7 +92,7 @@
         limit."""
         self.resting_until = -inf
         """End of the rest that the server asked this instance for."""
-        self.is_kept_in_use = False
+        self.spared = False
         """Whether it gets first attempts although suspected, as too many servers are suspected."""
 
     @property
@@ -131,7 +131,7 @@
 
     def is_avoided(self, now: float) -> bool:
         """Return whether first attempts avoid the server: suspected, and not kept in use."""
-        return self.suspect_until > now and not self.is_kept_in_use
+        return self.suspect_until > now and not self.spared
 
     @property
     def is_ready(self) -> bool:
@@ -147,5 +147,5 @@
         """Return the unsent evidence and reset its counts."""
         line = ServerEvidence(self.server_id, self.answered, self.failed, self.timed, self.slow)
         self.answered = self.failed = self.timed = self.slow = 0
-        self.evidence_sent_at = now
+        self.told_at = now
         return line
