--- a/packages/decisions/src/persimmonusher_decisions/learning.py
+++ b/packages/decisions/src/persimmonusher_decisions/learning.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches the parts that decide on the next requests."""
+"""Passes the outcome of each attempt to the parts that decide on later requests."""
 
 from collections.abc import Collection
 from typing import Final
@@ -13,24 +13,24 @@
 from persimmonusher_decisions.work import Dispatch, Outcome, OutcomeKind
 from persimmonusher_model.profile import Profile
 
-PENALTIES: Final = {
+PENALTIES_PER_SLOT: Final = {
     OutcomeKind.FAILURE: 0.3,
     OutcomeKind.TIMEOUT: 1.0,
     OutcomeKind.BROKEN: 1.0,
     OutcomeKind.REFUSED: 0.25,
     OutcomeKind.UNREACHED: 1.0,
 }
-"""Share of its slots by which a server is taken to be busier after an outcome. A refusal for being
-full is no fault, but the next request had better go elsewhere. A failure's is small on purpose:
-a server that fails half its work would otherwise lose nearly all of it, and with it the answers by
-which the assessor can tell, so that it would be out later."""
-SILENT_REFUSAL_PENALTY: Final = 1.0
-"""The same share for a refusal that tells no load: the server's queue, several times its slots, is
-full or it is ill, and nothing else will say when it has room again."""
+"""Load that is added to a server after an outcome, as a share of its slots. A refusal by a full
+server is no fault, but the next request had better go elsewhere. The penalty for a failure is small
+on purpose: with a larger one, a server that fails half its work would lose nearly all of it, and
+with it the answers that the assessor needs as evidence, so it would be ejected later."""
+SILENT_REFUSAL_PENALTY_PER_SLOT: Final = 1.0
+"""Penalty for a refusal without a reported load: either the server's queue, several times its
+slots, is full, or the server is faulty, and nothing else will show when it has room again."""
 
 
 class OutcomeLearning:
-    """Hands each outcome to the parts that it concerns; one for a service at an instance."""
+    """Passes each outcome to the parts concerned; one for each service at an instance."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._suspicion = suspicion
 
     def take_success(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Learn from a good answer."""
+        """Learn from a successful answer."""
         dispatch, track = attempt.dispatch, attempt.track
         fingerprint = dispatch.request.fingerprint
         self._quarantine.record_success(fingerprint, track.server_id, dispatch.started)
@@ -74,15 +74,18 @@
             self._quarantine.record_break(dispatch.request.fingerprint, track.server_id, now)
         elif is_refusal:
             self._window.record_refusal(track.server_id, track.known_load, now)
-        silent = is_refusal and outcome.reported_load is None
-        share = SILENT_REFUSAL_PENALTY if silent else PENALTIES[outcome.kind]
+        has_no_load = is_refusal and outcome.reported_load is None
+        share = SILENT_REFUSAL_PENALTY_PER_SLOT if has_no_load else PENALTIES_PER_SLOT[outcome.kind]
         self._placement.penalize(track, share)
         self._suspicion.record(dispatch, track, outcome, tracks, profile, now)
-        if not self._is_excused(dispatch, outcome.kind):
+        if not self._is_request_at_fault(dispatch, outcome.kind):
             self._evidence.learn(attempt, outcome)
 
     def take_load(self, track: ServerTrack, outcome: Outcome, now: float) -> None:
-        """Learn what an answer says of the server's load, after the attempt was taken off."""
+        """Learn from the load that an answer reports.
+
+        Call it after the attempt was removed from those in flight, since the load counts the rest.
+        """
         load = outcome.reported_load
         if load is not None:
             self._placement.learn_load(track, load)
@@ -90,8 +93,8 @@
             ratio = None if load is None else load / track.slots
             self._window.record_answer(ratio, len(self._evidence), now)
 
-    def _is_excused(self, dispatch: Dispatch, kind: OutcomeKind) -> bool:
-        """Tell whether a request, and not the server that it broke, is to blame."""
+    def _is_request_at_fault(self, dispatch: Dispatch, kind: OutcomeKind) -> bool:
+        """Return whether a break counts against the request rather than against the server."""
         server_id = dispatch.server.server_id
         fingerprint = dispatch.request.fingerprint
         return kind is OutcomeKind.BROKEN and self._quarantine.is_suspected(fingerprint, server_id)
--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -1,4 +1,4 @@
-"""Many instances before servers that ask for less work, in virtual time."""
+"""Simulates, in virtual time, instances with servers that ask for limits or rests, or leave."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """The fleet, and what callers ask of it."""
+    """The size of the fleet, its load, and its disturbances."""
 
     instances: int = 36
     servers: int = 10
@@ -32,16 +32,16 @@
     """At each instance."""
     burst_at: float = float("inf")
     burst_factor: float = 1.0
-    """Times as many requests from that second on."""
+    """Factor on the request rate from `burst_at` on."""
     seconds: float = 20.0
     lost_share: float = 0.0
-    """Part of the notices that don't arrive."""
+    """Part of the notices that are lost, at each receiver independently."""
     cut_share: float = 0.0
-    """Part of the instances that hear of no notice at all."""
+    """Part of the instances that receive no notices at all."""
     counted_share: float = 1.0
-    """Part of the instances that all know of, from second 6 on."""
+    """Part of the instances that each instance counts as live, from second 6 on."""
     disturbances: int = 0
-    """Restarts and freezes of instances over the whole time."""
+    """Number of restarts and freezes of instances, at random times."""
 
 
 @dataclass
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """A refusal that asked an instance for rest, and when the instance had it."""
+    """A refusal that asked an instance for rest; `at` is when the instance received it."""
 
     server_id: ServerId
     instance: int
@@ -65,23 +65,23 @@
 
 @dataclass
 class Seen:
-    """What servers and callers saw."""
+    """The events that servers, instances and callers saw."""
 
     arrivals: list[Arrival] = field(default_factory=list)
     told: dict[ServerId, dict[int, float]] = field(default_factory=dict)
-    """When each instance first had an answer of a server that asks for something."""
+    """When each instance first received an answer by which the server asks for something."""
     rests: list[Rest] = field(default_factory=list)
     disturbed: set[int] = field(default_factory=set)
-    """Instances that were restarted or frozen, which are excused."""
+    """Instances that were restarted or frozen; assertions leave them out."""
     refused: int = 0
     served: int = 0
 
     def list_arrivals(self, server_id: ServerId) -> list[Arrival]:
-        """List what reached a server."""
+        """List the requests that reached a server."""
         return [arrival for arrival in self.arrivals if arrival.server_id == server_id]
 
-    def list_told_arrivals(self, server_id: ServerId, told_seconds: float) -> list[Arrival]:
-        """List what reached a server from instances told by it so long before or earlier."""
+    def list_informed_arrivals(self, server_id: ServerId, told_seconds: float) -> list[Arrival]:
+        """List the requests from instances that had the server's answer `told_seconds` before."""
         told = self.told.get(server_id, {})
         never = float("inf")
         return [
@@ -93,7 +93,7 @@
 
 
 class AskingServers:
-    """Instances' decisions before servers; `advise` says what a server's answers ask for."""
+    """Runs the decisions of all instances; `advise` returns what a server's answers ask for."""
 
     def __init__(
         self,
@@ -112,9 +112,9 @@
         self._profile = profile
         self._servers = [make_server(index) for index in range(scene.servers)]
         self._instances = [self._make_instance(index) for index in range(scene.instances)]
-        self._awake_at = [0.0] * scene.instances
+        self._frozen_until = [0.0] * scene.instances
         cut = int(scene.cut_share * scene.instances)
-        self._hearing = self._random.sample(range(scene.instances), scene.instances - cut)
+        self._receivers = self._random.sample(range(scene.instances), scene.instances - cut)
 
     def _make_instance(self, index: int) -> ServiceTraffic:
         traffic = ServiceTraffic(
@@ -130,7 +130,7 @@
         return traffic
 
     def run(self) -> Seen:
-        """Play the scene."""
+        """Run the simulation to its end."""
         for _ in range(self._scene.disturbances):
             self._after(self._random.uniform(0.0, self._scene.seconds), self._disturb)
         self._after(0.0, self._arrive)
@@ -152,32 +152,32 @@
             rate *= self._scene.burst_factor
         self._after(self._random.expovariate(rate), self._arrive)
         index = self._random.randrange(self._scene.instances)
-        if self._awake_at[index] > self._now:
+        if self._frozen_until[index] > self._now:
             return
         request = make_request(
             f"r{next(self._numbers)}", self._now, idempotent=self._random.random() < 0.5
         )
-        self._follow(index, self._instances[index].offer(request, self._now))
+        self._apply_decision(index, self._instances[index].offer(request, self._now))
 
     def _disturb(self) -> None:
-        """Restart an instance, or freeze it for some seconds; what it was told binds no more."""
+        """Restart an instance or freeze it for some seconds, and mark it as disturbed."""
         index = self._random.randrange(self._scene.instances)
         self.seen.disturbed.add(index)
         if self._random.random() < 0.5:
             self._instances[index] = self._make_instance(index)
         else:
-            self._awake_at[index] = self._now + self._random.uniform(0.3, 4.0)
+            self._frozen_until[index] = self._now + self._random.uniform(0.3, 4.0)
 
-    def _follow(self, index: int, decision: Decision) -> None:
+    def _apply_decision(self, index: int, decision: Decision) -> None:
         if isinstance(decision, Dispatch):
-            self._after(WAY_SECONDS, lambda: self._reach(index, decision))
+            self._after(WAY_SECONDS, lambda: self._arrive_at_server(index, decision))
         elif isinstance(decision, Refusal):
             self.seen.refused += 1
 
-    def _reach(self, index: int, dispatch: Dispatch) -> None:
+    def _arrive_at_server(self, index: int, dispatch: Dispatch) -> None:
         server_id = dispatch.server.server_id
         self.seen.arrivals.append(Arrival(server_id, index, self._now))
-        # A request in fifty fails, and is sent again where it may be.
+        # One request in fifty fails, and is retried if it is idempotent.
         kind = OutcomeKind.FAILURE if self._random.random() < 0.02 else OutcomeKind.SUCCESS
         advice = self._advise(server_id, self._now + WORK_SECONDS)
         if advice.rest_seconds:
@@ -189,8 +189,8 @@
     def _answer(
         self, index: int, dispatch: Dispatch, kind: OutcomeKind, advice: ServerAdvice
     ) -> None:
-        if self._awake_at[index] > self._now:
-            again = self._awake_at[index] - self._now
+        if self._frozen_until[index] > self._now:
+            again = self._frozen_until[index] - self._now
             self._after(again, lambda: self._answer(index, dispatch, kind, advice))
             return
         if advice != SILENT:
@@ -203,24 +203,24 @@
         instance.take_advice(dispatch, advice, self._now)
         outcome = Outcome(kind, self._now - dispatch.started)
         for released in instance.finish(dispatch, outcome, self._now):
-            self._follow(index, released)
+            self._apply_decision(index, released)
         for notice in instance.take_notices():
-            self._tell(notice)
+            self._notify_others(notice)
         if kind is OutcomeKind.SUCCESS:
             self.seen.served += 1
         elif dispatch.request.idempotent or kind is OutcomeKind.REFUSED:
             again = instance.retry(dispatch, outcome, self._now)
             if isinstance(again, Dispatch) or kind is OutcomeKind.REFUSED:
-                self._follow(index, again)
+                self._apply_decision(index, again)
 
-    def _tell(self, notice: Notice) -> None:
-        for index in self._hearing:
+    def _notify_others(self, notice: Notice) -> None:
+        for index in self._receivers:
             if self._random.random() >= self._scene.lost_share:
-                late = max(0.0, self._awake_at[index] - self._now)
+                late = max(0.0, self._frozen_until[index] - self._now)
                 seconds = late + self._random.uniform(0.003, LONGEST_NOTICE_SECONDS)
-                self._after(seconds, lambda index=index: self._hear(index, notice))
+                self._after(seconds, lambda index=index: self._receive_notice(index, notice))
 
-    def _hear(self, index: int, notice: Notice) -> None:
+    def _receive_notice(self, index: int, notice: Notice) -> None:
         self._instances[index].apply_notice(notice, self._now)
 
     def _advance(self) -> None:
@@ -228,10 +228,10 @@
             return
         self._after(ADVANCE_SECONDS, self._advance)
         for index, instance in enumerate(self._instances):
-            if self._awake_at[index] > self._now:
+            if self._frozen_until[index] > self._now:
                 continue
             for decision in instance.advance(self._now):
-                self._follow(index, decision)
+                self._apply_decision(index, decision)
 
     def _miscount(self) -> None:
         counted = int(self._scene.counted_share * self._scene.instances)
