--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -210,7 +210,7 @@
             self._quarantine.record_remote_break(notice.fingerprint, notice.server_id, now)
         return self._suspicion.take(notice, track, self._tracks.values(), self._profile, now)
 
-    def find_seconds_passed_by(self, server_id: ServerId, now: float) -> float:
+    def find_suspicion_seconds(self, server_id: ServerId, now: float) -> float:
         """Return the seconds for which first attempts still avoid a suspected server, or 0."""
         track = self._tracks.get(server_id)
         if track is None or not track.is_avoided(now):
--- a/packages/decisions/tests/test_heavy_load.py
+++ b/packages/decisions/tests/test_heavy_load.py
@@ -139,9 +139,9 @@
             traffic.finish(dispatch, Outcome(OutcomeKind.SUCCESS, 0.3), 0.3)
         lost = dispatched(traffic.offer(make_request("r", 1.0, idempotent=False), 1.0))
         traffic.advance(1.8)
-        self.assertEqual(traffic.find_seconds_passed_by(lost.server.server_id, 1.8), 0.0)
+        self.assertEqual(traffic.find_suspicion_seconds(lost.server.server_id, 1.8), 0.0)
         traffic.advance(2.1)
-        self.assertGreater(traffic.find_seconds_passed_by(lost.server.server_id, 2.1), 0.0)
+        self.assertGreater(traffic.find_suspicion_seconds(lost.server.server_id, 2.1), 0.0)
         self.assertEqual(traffic.take_notices(), (), "one in forty is slow without fault")
 
 
@@ -157,7 +157,7 @@
         return notice
 
     def find_seconds(self, now: float) -> float:
-        return self.traffic.find_seconds_passed_by(self.faulty, now)
+        return self.traffic.find_suspicion_seconds(self.faulty, now)
 
     def test_a_recovery_is_believed_unless_a_failure_is_newer(self) -> None:
         """A server answers one lookup, and fails the next before that answer has arrived."""
@@ -182,7 +182,7 @@
             now += self.find_seconds(now) + 0.5
         other = Notice(NoticeKind.FAILED, SERVICE, ServerId("s1"), 1, "", RequestId("o"))
         self.traffic.apply_notice(other, now)
-        self.assertGreater(self.traffic.find_seconds_passed_by(ServerId("s1"), now), 8.0)
+        self.assertGreater(self.traffic.find_suspicion_seconds(ServerId("s1"), now), 8.0)
 
     def test_a_good_answer_to_a_lookup_sent_before_the_failure_proves_nothing(self) -> None:
         dispatch = dispatched(self.traffic.offer(make_request("r", 1.1), 1.1))
@@ -199,7 +199,7 @@
     def send_notice(self, name: str, now: float) -> float:
         notice = Notice(NoticeKind.UNREACHED, SERVICE, ServerId("s0"), 1, "", RequestId(name))
         self.traffic.apply_notice(notice, now)
-        return self.traffic.find_seconds_passed_by(ServerId("s0"), now)
+        return self.traffic.find_suspicion_seconds(ServerId("s0"), now)
 
     def test_what_one_instance_cannot_reach_the_others_go_on_using(self) -> None:
         """Guards against avoiding servers everywhere because of one-way link faults.
@@ -222,7 +222,7 @@
         dispatch = dispatched(self.traffic.offer(make_request("r", 1.0), 1.0))
         self.traffic.finish(dispatch, Outcome(OutcomeKind.UNREACHED, 0.2), 1.2)
         server = dispatch.server.server_id
-        self.assertGreater(self.traffic.find_seconds_passed_by(server, 1.3), 0.0)
+        self.assertGreater(self.traffic.find_suspicion_seconds(server, 1.3), 0.0)
         (notice,) = self.traffic.take_notices()
         self.assertIs(notice.kind, NoticeKind.UNREACHED)
 
--- a/packages/decisions/tests/test_suspicion.py
+++ b/packages/decisions/tests/test_suspicion.py
@@ -118,14 +118,14 @@
         now, returns = 0.0, []
         for _ in range(5):
             traffic.apply_notice(make_notice(0), now)
-            while traffic.find_seconds_passed_by(ServerId("s0"), now):
+            while traffic.find_suspicion_seconds(ServerId("s0"), now):
                 now += 0.5
             returns.append(now)
         self.assertEqual(returns, [5.0, 15.0, 35.0, 55.0, 75.0])
         traffic.apply_notice(make_notice(0), 100.0)
         learned = LENGTHENING_FACTOR ** (len(returns) - 1)
         self.assertAlmostEqual(
-            traffic.find_seconds_passed_by(ServerId("s0"), 100.0),
+            traffic.find_suspicion_seconds(ServerId("s0"), 100.0),
             HOLD_SECONDS * learned,
             msg="a new fault, for the learned duration",
         )
@@ -215,7 +215,7 @@
         self.assertIs(notice.kind, NoticeKind.FAILED_LATE)
         for traffic in (first, second):
             traffic.apply_notice(notice, 1.1)
-            seconds = traffic.find_seconds_passed_by(notice.server_id, 1.2)
+            seconds = traffic.find_suspicion_seconds(notice.server_id, 1.2)
             self.assertEqual(seconds, 0.0, "its own notice sent back, or a single one")
         self.assertGreater(serve(second, 60, 1.2)[notice.server_id], 0)
 
--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -224,7 +224,7 @@
         event = "server-limit"
         details: dict[str, object] = {"requests_a_second": notice.rate_limit}
     else:
-        excluded_seconds = live.traffic.find_seconds_passed_by(notice.server_id, now)
+        excluded_seconds = live.traffic.find_suspicion_seconds(notice.server_id, now)
         event = choose_event(notice, excluded_seconds)
         details = {"seconds": round(excluded_seconds, 1), "outcome": notice.kind.value}
     _log.info(
