--- a/packages/decisions/src/persimmonusher_decisions/evidence_messages.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence_messages.py
@@ -130,7 +130,7 @@
         """Return the key that orders sets of the same assessor, newest last."""
         return (self.epoch, self.sequence)
 
-    def tells_other_than(self, before: "EjectionSet") -> bool:
+    def differs_from(self, before: "EjectionSet") -> bool:
         """Return whether the verdicts differ, so that instances need this set before a renewal."""
         return self._list_verdicts() != before._list_verdicts()
 
--- a/packages/lab/src/persimmonusher_lab/decisions_simulation.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_simulation.py
@@ -270,7 +270,7 @@
             self.tally.notes[NUMBERS.sub("n", current.note)] += 1
         if before is None:
             return
-        if current.tells_other_than(before):
+        if current.differs_from(before):
             self._count_ejections(before, current)
             for index in range(self.site.entries):
                 self.loop.call_later(self.site.latency, self._exchange, index, None)
--- a/packages/node/src/persimmonusher_node/assessors.py
+++ b/packages/node/src/persimmonusher_node/assessors.py
@@ -92,7 +92,7 @@
             self._update_inputs(service, active, profile, now)
             before = active.verdict
             active.verdict = active.assessor.assess(now)
-            if active.verdict.tells_other_than(before):
+            if active.verdict.differs_from(before):
                 self._on_change(service, self._list_reporters(active, now))
 
     def list_verdicts(self) -> tuple[EjectionSet, ...]:
