--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -161,7 +161,9 @@
         if best is not None and (
             best.load <= CROWDED_LOAD_PER_SLOT or self._has_recent_lookup(now)
         ):
-            kept = [track for track in candidates if track.spared and track.is_suspected(now)]
+            kept = [
+                track for track in candidates if track.kept_by_floor and track.is_suspected(now)
+            ]
             other = self._find_least_loaded(kept, None, now)
             return (
                 other
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -200,13 +200,13 @@
         track.suspected_at = now
         longest = MAX_DURATION_FACTOR * profile.suspect_ms / 1000.0
         track.suspect_until = now + min(longest, seconds * 2 ** (track.suspicions - 1))
-        track.spared = False
+        track.kept_by_floor = False
         suspected = [item for item in tracks if item.is_avoided(now)]
         allowed = find_max_suspects(len(tracks), profile)
         if len(suspected) > allowed:
             suspected.sort(key=lambda item: item.suspected_at)
             for item in suspected[: len(suspected) - allowed]:
-                item.spared = True
+                item.kept_by_floor = True
         return is_news
 
     @staticmethod
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -38,7 +38,7 @@
         "server",
         "server_id",
         "slow",
-        "spared",
+        "kept_by_floor",
         "slots",
         "suspect_until",
         "suspected_at",
@@ -75,7 +75,7 @@
         self.doubts = Doubts()
         self.suspect_until = now
         """End of the current suspicion; until then first attempts avoid the server, unless
-        `spared`."""
+        `kept_by_floor`."""
         self.suspected_at = now
         """When the server was last suspected, because an instance saw it fail."""
         self.suspicions = 0
@@ -92,7 +92,7 @@
         limit."""
         self.resting_until = -inf
         """End of the rest that the server asked this instance for."""
-        self.spared = False
+        self.kept_by_floor = False
         """Whether it gets first attempts although suspected, as too many servers are suspected."""
 
     @property
@@ -131,7 +131,7 @@
 
     def is_avoided(self, now: float) -> bool:
         """Return whether first attempts avoid the server: suspected, and not kept in use."""
-        return self.suspect_until > now and not self.spared
+        return self.suspect_until > now and not self.kept_by_floor
 
     @property
     def is_ready(self) -> bool:
