--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -251,11 +251,11 @@
 def take_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
     """Return the lines of the next digest, abnormal servers first, and mark them as sent."""
     due = [track for track in tracks if _is_due(track, now)]
-    due.sort(key=lambda track: (not track.is_abnormal, track.told_at))
+    due.sort(key=lambda track: (not track.is_abnormal, track.evidence_sent_at))
     return tuple(track.take_evidence(now) for track in due[:MAX_SERVERS_IN_DIGEST])
 
 
 def _is_due(track: ServerTrack, now: float) -> bool:
     if track.is_abnormal or track.answered >= ROUTINE_ANSWERS:
         return True
-    return track.answered > 0 and now - track.told_at >= ROUTINE_INTERVAL_SECONDS
+    return track.answered > 0 and now - track.evidence_sent_at >= ROUTINE_INTERVAL_SECONDS
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -43,7 +43,7 @@
         "suspect_until",
         "suspected_at",
         "suspicions",
-        "told_at",
+        "evidence_sent_at",
         "turn_at",
         "timed",
     )
@@ -71,7 +71,7 @@
         self.failed = 0
         self.timed = 0
         self.slow = 0
-        self.told_at = now
+        self.evidence_sent_at = now
         self.doubts = Doubts()
         self.suspect_until = now
         """End of the current suspicion; until then first attempts avoid the server, unless
@@ -147,5 +147,5 @@
         """Return the unsent evidence and reset its counts."""
         line = ServerEvidence(self.server_id, self.answered, self.failed, self.timed, self.slow)
         self.answered = self.failed = self.timed = self.slow = 0
-        self.told_at = now
+        self.evidence_sent_at = now
         return line
