--- a/packages/decisions/src/persimmonusher_decisions/ejection.py
+++ b/packages/decisions/src/persimmonusher_decisions/ejection.py
@@ -65,9 +65,9 @@
         for track in known:
             ejection = named.get(track.server_id)
             state = ejection.state if ejection and track.server_id in out else None
-            if state is None and track.out is not None:
+            if state is None and track.ejection_state is not None:
                 track.ramp_from = now
-            track.out = state
+            track.ejection_state = state
             track.reason = ""
             if ejection:
                 track.reason = ejection.reason if state else HELD_BACK_PREFIX + ejection.reason
--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -205,7 +205,7 @@
             if not attempt.overdue:
                 track.timed += 1
                 track.slow += slow
-        if track.out is None:
+        if track.ejection_state is None:
             baseline.record(latency)
 
     def _find_baseline(self, request_class: str) -> LatencyBaseline:
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -120,10 +120,10 @@
         """Replace the known servers; called after any change of them or of their ejections."""
         self._tracks = list(tracks)
         ready = [track for track in self._tracks if track.is_ready and track.connection_limit]
-        self._open = [track for track in ready if track.out is None]
+        self._open = [track for track in ready if track.ejection_state is None]
         self._near = [track for track in self._open if self._is_near(track)]
         self._far = [track for track in self._open if not self._is_near(track)]
-        self._probed = [track for track in ready if track.out is EjectionState.PROBATION]
+        self._probed = [track for track in ready if track.ejection_state is EjectionState.PROBATION]
         self._refresh(now, 0.0)
 
     def choose(self, idempotent: bool, tried: ServerId | None, now: float) -> ServerTrack | None:
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -27,7 +27,7 @@
         "inverse",
         "limit_named_at",
         "others",
-        "out",
+        "ejection_state",
         "outstanding",
         "penalty",
         "rate_limit",
@@ -64,7 +64,7 @@
         self.draining = False
         """Whether an answer of this boot said that the server is leaving."""
         self.ramp_from: float | None = None
-        self.out: EjectionState | None = None
+        self.ejection_state: EjectionState | None = None
         self.reason = ""
         self.probe_at = now
         self.answered = 0
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -324,7 +324,7 @@
         return tuple(
             ServerStatus(
                 track.server,
-                track.is_ready and track.out is None,
+                track.is_ready and track.ejection_state is None,
                 track.reason or track.find_asked(now).value or track.server.state.value,
                 track.outstanding,
                 track.rate_limit,
@@ -387,7 +387,7 @@
         if self._started:
             track.ramp_from = now
         if before is not None:
-            track.out = before.out
+            track.ejection_state = before.ejection_state
         return track
 
     def _rebuild(self, now: float) -> None:
