--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -83,7 +83,7 @@
         self._limited: list[ServerTrack] = []
         self._refresh_at = -inf
         self._lookup_at = -inf
-        self._mean_others = 0.0
+        self._mean_other_load = 0.0
         self.ramp_seconds = 0.0
         self.proving_seconds = 0.0
         """Time after a server's failure before a lookup may try it."""
@@ -207,16 +207,18 @@
     def learn_load(self, track: ServerTrack, reported_load: int) -> None:
         """Record a server's requests in progress as reported, this instance's own included."""
         others = max(0.0, float(reported_load - track.outstanding))
-        mean = self._mean_others
+        mean = self._mean_other_load
         highest = max(MAX_REPORT_FACTOR * mean, mean + track.slots)
-        track.others = min(highest, max(mean / MAX_REPORT_FACTOR, others))
-        track.base = track.others + track.penalty
+        track.other_load = min(highest, max(mean / MAX_REPORT_FACTOR, others))
+        track.base = track.other_load + track.penalty
 
     def penalize(self, track: ServerTrack, share: float) -> None:
         """Lower a server's share of work for some seconds, as if `share` of its slots were busy."""
         largest = MAX_PENALTY_PER_SLOT * track.slots
         track.penalty = min(largest, track.penalty + share * track.slots)
-        track.base = (self._mean_others if track.others is None else track.others) + track.penalty
+        track.base = (
+            self._mean_other_load if track.other_load is None else track.other_load
+        ) + track.penalty
 
     def _sample_unsuspected(self, now: float) -> list[ServerTrack]:
         """Return a few unsuspected open servers, from this failure domain and from the others.
@@ -315,24 +317,26 @@
 
     def _refresh(self, now: float, elapsed: float) -> None:
         self._refresh_at = now + REFRESH_INTERVAL_SECONDS
-        known = [track.others for track in self._open if track.others is not None]
+        known = [track.other_load for track in self._open if track.other_load is not None]
         mean = sum(known) / len(known) if known else 0.0
-        self._mean_others = mean
+        self._mean_other_load = mean
         report_keep = exp(-elapsed / REPORT_MEMORY_SECONDS)
         penalty_keep = exp(-elapsed / PENALTY_MEMORY_SECONDS)
         self._limited = [track for track in self._open if track.rate_limit is not None]
         for track in self._tracks:
             track.bias = 0.0 if self._is_near(track) else self.far_load
-            if track.others is not None:
-                difference = (track.others - mean) * report_keep
-                track.others = (
+            if track.other_load is not None:
+                difference = (track.other_load - mean) * report_keep
+                track.other_load = (
                     mean if abs(difference) < MIN_DIFFERENCE_REQUESTS else mean + difference
                 )
             track.penalty *= penalty_keep
             if track.penalty < MIN_PENALTY_PER_SLOT * track.slots:
                 track.penalty = 0.0
             share = self._update_ramp(track, now)
-            track.base = (mean * share if track.others is None else track.others) + track.penalty
+            track.base = (
+                mean * share if track.other_load is None else track.other_load
+            ) + track.penalty
         if elapsed:
             for servers in (self._open, self._near, self._far):
                 self._random.shuffle(servers)
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -26,7 +26,7 @@
         "failed",
         "inverse",
         "limit_named_at",
-        "others",
+        "other_load",
         "ejection_state",
         "outstanding",
         "penalty",
@@ -53,7 +53,7 @@
         self.server_id = server.server_id
         self.slots = max(1, server.slots)
         self.outstanding = 0
-        self.others: float | None = None
+        self.other_load: float | None = None
         """Requests of all other instances in progress there, as last reported and decayed toward
         the mean of all servers; None before the first report."""
         self.penalty = 0.0
@@ -103,7 +103,7 @@
     @property
     def known_load(self) -> float:
         """Return the known requests in progress per slot, without the penalty."""
-        return (self.outstanding + (self.others or 0.0)) / self.slots
+        return (self.outstanding + (self.other_load or 0.0)) / self.slots
 
     def set_turn(self, at: float) -> None:
         """Set when this instance's next turn begins."""
