--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -210,13 +210,13 @@
         mean = self._mean_other_load
         highest = max(MAX_REPORT_FACTOR * mean, mean + track.slots)
         track.other_load = min(highest, max(mean / MAX_REPORT_FACTOR, others))
-        track.base = track.other_load + track.penalty
+        track.base_load = track.other_load + track.penalty
 
     def penalize(self, track: ServerTrack, share: float) -> None:
         """Lower a server's share of work for some seconds, as if `share` of its slots were busy."""
         largest = MAX_PENALTY_PER_SLOT * track.slots
         track.penalty = min(largest, track.penalty + share * track.slots)
-        track.base = (
+        track.base_load = (
             self._mean_other_load if track.other_load is None else track.other_load
         ) + track.penalty
 
@@ -262,7 +262,7 @@
         best_score = inf
         for track in servers:
             outstanding = track.outstanding
-            score = (outstanding + 1 + track.base) * track.inverse + track.bias
+            score = (outstanding + 1 + track.base_load) * track.inverse_slots + track.far_load
             if (
                 score < best_score
                 and outstanding < track.connection_limit
@@ -324,7 +324,7 @@
         penalty_keep = exp(-elapsed / PENALTY_MEMORY_SECONDS)
         self._limited = [track for track in self._open if track.rate_limit is not None]
         for track in self._tracks:
-            track.bias = 0.0 if self._is_near(track) else self.far_load
+            track.far_load = 0.0 if self._is_near(track) else self.far_load
             if track.other_load is not None:
                 difference = (track.other_load - mean) * report_keep
                 track.other_load = (
@@ -334,7 +334,7 @@
             if track.penalty < MIN_PENALTY_PER_SLOT * track.slots:
                 track.penalty = 0.0
             share = self._update_ramp(track, now)
-            track.base = (
+            track.base_load = (
                 mean * share if track.other_load is None else track.other_load
             ) + track.penalty
         if elapsed:
@@ -350,5 +350,5 @@
             share = find_ramp_share(now - track.ramp_from, self.ramp_seconds)
             if share >= 1.0:
                 track.ramp_from = None
-        track.inverse = 1.0 / (track.slots * share)
+        track.inverse_slots = 1.0 / (track.slots * share)
         return share
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -11,20 +11,20 @@
 class ServerTrack:
     """Mutable state of one server at one instance; the hot path reads its attributes directly.
 
-    `base`, `inverse` and `bias` are the precomputed parts of the placement score.
+    `base_load`, `inverse_slots` and `far_load` are the precomputed parts of the placement score.
     `answered`, `failed`, `timed` and `slow` count evidence for the next digest.
     """
 
     __slots__ = (
         "answered",
-        "base",
-        "bias",
+        "base_load",
+        "far_load",
         "closed_until",
         "connection_limit",
         "doubts",
         "draining",
         "failed",
-        "inverse",
+        "inverse_slots",
         "limit_named_at",
         "other_load",
         "ejection_state",
@@ -57,9 +57,9 @@
         """Requests of all other instances in progress there, as last reported and decayed toward
         the mean of all servers; None before the first report."""
         self.penalty = 0.0
-        self.base = 0.0
-        self.inverse = 1.0 / self.slots
-        self.bias = 0.0
+        self.base_load = 0.0
+        self.inverse_slots = 1.0 / self.slots
+        self.far_load = 0.0
         self.connection_limit = 1
         self.draining = False
         """Whether an answer of this boot said that the server is leaving."""
@@ -98,7 +98,7 @@
     @property
     def load(self) -> float:
         """Return the load per slot that one more request would result in, penalty included."""
-        return (self.outstanding + 1 + self.base) * self.inverse
+        return (self.outstanding + 1 + self.base_load) * self.inverse_slots
 
     @property
     def known_load(self) -> float:
