--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -210,7 +210,7 @@
             held_back.update(verdict.held_back)
             ejections.extend(
                 Ejection(name, domain, seen[name].state, seen[name].reason, seen[name].strength)
-                for name in verdict.out
+                for name in verdict.ejected
             )
         self._held_back = len(held_back)
         return tuple(ejections)
--- a/packages/decisions/src/persimmonusher_decisions/floor.py
+++ b/packages/decisions/src/persimmonusher_decisions/floor.py
@@ -18,7 +18,7 @@
 class FloorVerdict:
     """The candidates that may be ejected together, and those that the floor keeps in place."""
 
-    out: tuple[ServerId, ...]
+    ejected: tuple[ServerId, ...]
     held_back: tuple[ServerId, ...]
 
 
@@ -38,15 +38,15 @@
     ranked = sorted(candidates, key=lambda candidate: (-candidate.strength, candidate.server_id))
     total = sum(slots.values())
     spare = total * (100 - floor_percent) / 100
-    out: list[ServerId] = []
+    ejected: list[ServerId] = []
     held_back: list[ServerId] = []
     for candidate in ranked:
         size = slots.get(candidate.server_id)
         if size is None:
             continue
-        if size <= spare and len(out) + 1 < len(slots):
+        if size <= spare and len(ejected) + 1 < len(slots):
             spare -= size
-            out.append(candidate.server_id)
+            ejected.append(candidate.server_id)
         else:
             held_back.append(candidate.server_id)
-    return FloorVerdict(tuple(out), tuple(held_back))
+    return FloorVerdict(tuple(ejected), tuple(held_back))
--- a/packages/decisions/tests/test_floor.py
+++ b/packages/decisions/tests/test_floor.py
@@ -18,15 +18,15 @@
         slots = {ServerId(f"s{index}"): size for index, size in enumerate(sizes)}
         named = data.draw(st.lists(st.sampled_from([*slots, ServerId("gone")]), unique=True))
         verdict = apply_floor([Candidate(name, 1.0) for name in named], slots, floor)
-        left = sum(size for name, size in slots.items() if name not in verdict.out)
+        left = sum(size for name, size in slots.items() if name not in verdict.ejected)
         self.assertGreaterEqual(100 * left, floor * sum(sizes))
-        self.assertGreater(len(slots), len(verdict.out))
+        self.assertGreater(len(slots), len(verdict.ejected))
 
     def test_strongest_evidence_goes_first(self) -> None:
         slots = {ServerId(f"s{index}"): 4 for index in range(4)}
         candidates = [Candidate(ServerId("s1"), 1.0), Candidate(ServerId("s2"), 1.4)]
         verdict = apply_floor(candidates, slots, 75)
-        self.assertEqual((verdict.out, verdict.held_back), (("s2",), ("s1",)))
+        self.assertEqual((verdict.ejected, verdict.held_back), (("s2",), ("s1",)))
 
 
 class TwoAssessorsTest(unittest.TestCase):
