--- a/packages/decisions/src/persimmonusher_decisions/ejection.py
+++ b/packages/decisions/src/persimmonusher_decisions/ejection.py
@@ -61,10 +61,10 @@
         named = self._list_named()
         ready = {track.server_id: track.slots for track in known if track.is_ready}
         candidates = [Candidate(name, item.strength) for name, item in named.items()]
-        out = set(apply_floor(candidates, ready, floor_percent).ejected)
+        ejected = set(apply_floor(candidates, ready, floor_percent).ejected)
         for track in known:
             ejection = named.get(track.server_id)
-            state = ejection.state if ejection and track.server_id in out else None
+            state = ejection.state if ejection and track.server_id in ejected else None
             if state is None and track.ejection_state is not None:
                 track.ramp_from = now
             track.ejection_state = state
