--- a/packages/decisions/src/persimmonusher_decisions/learning.py
+++ b/packages/decisions/src/persimmonusher_decisions/learning.py
@@ -88,7 +88,7 @@
         """
         load = outcome.reported_load
         if load is not None:
-            self._placement.learn_load(track, load)
+            self._placement.record_load(track, load)
         if outcome.kind is OutcomeKind.SUCCESS:
             ratio = None if load is None else load / track.slots
             self._window.record_answer(ratio, len(self._evidence), now)
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -204,12 +204,12 @@
             best = self._find_longest_suspected(candidates, tried, now) or best
         return best or self._find_least_loaded(candidates, tried, now)
 
-    def learn_load(self, track: ServerTrack, reported_load: int) -> None:
+    def record_load(self, track: ServerTrack, reported_load: int) -> None:
         """Record a server's requests in progress as reported, this instance's own included."""
-        others = max(0.0, float(reported_load - track.outstanding))
+        other_load = max(0.0, float(reported_load - track.outstanding))
         mean = self._mean_other_load
         highest = max(MAX_REPORT_FACTOR * mean, mean + track.slots)
-        track.other_load = min(highest, max(mean / MAX_REPORT_FACTOR, others))
+        track.other_load = min(highest, max(mean / MAX_REPORT_FACTOR, other_load))
         track.base_load = track.other_load + track.penalty
 
     def penalize(self, track: ServerTrack, share: float) -> None:
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -231,7 +231,7 @@
         for track in self._tracks.values():
             total = loads.get(track.server_id, 0)
             if total or track.server.failure_domain == self._failure_domain:
-                self._placement.learn_load(track, total)
+                self._placement.record_load(track, total)
 
     def take_advice(self, dispatch: Dispatch, advice: ServerAdvice, now: float) -> bool:
         """Apply what a server's answer asks for; return whether it newly says that it leaves."""
