--- a/packages/decisions/src/persimmonusher_decisions/further_attempts.py
+++ b/packages/decisions/src/persimmonusher_decisions/further_attempts.py
@@ -106,7 +106,7 @@
 
     def _refuse_closed(self, request: Request, now: float) -> Refusal | None:
         """Refuse a request that was not run, until the first server opens, if all are closed."""
-        closed = self._placement.find_seconds_closed(now)
+        closed = self._placement.find_seconds_until_open(now)
         return self._admission.refuse_closed(request, closed) if closed else None
 
     def _is_late(self, dispatch: Dispatch, now: float) -> bool:
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -102,7 +102,7 @@
         self._skip_turns(now)
         return any(track.may_take(now) for track in self._open)
 
-    def find_seconds_closed(self, now: float) -> float:
+    def find_seconds_until_open(self, now: float) -> float:
         """Return the seconds until the first open server accepts requests of this instance again.
 
         0 if one does now, or if there is no open server. Servers are closed to an instance by a
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -364,7 +364,7 @@
 
     def _refuse_closed(self, request: Request, usual: float, now: float) -> Refusal | None:
         """Refuse a request if all servers stay closed to this instance until it is too late."""
-        closed = self._placement.find_seconds_closed(now)
+        closed = self._placement.find_seconds_until_open(now)
         if not closed or closed <= self._admission.find_wait_left(request, usual, now):
             return None
         return self._admission.refuse_closed(request, closed)
