--- a/packages/decisions/src/persimmonusher_decisions/advice_book.py
+++ b/packages/decisions/src/persimmonusher_decisions/advice_book.py
@@ -20,21 +20,21 @@
         self._limits = limits
         self._notices: list[Notice] = []
 
-    def take(
+    def apply(
         self, track: ServerTrack, dispatch: Dispatch, advice: ServerAdvice, now: float
     ) -> bool:
         """Apply an answer's advice; return whether it newly says that the server leaves."""
         if advice.rest_seconds:
             track.rest_until(now + advice.rest_seconds)
-        if self._limits.take(track, advice, dispatch.started, now):
+        if self._limits.apply(track, advice, dispatch.started, now):
             self._notices.append(self._make_notice(dispatch, advice, now))
         is_news = advice.is_leaving and not track.draining
         track.draining = track.draining or advice.is_leaving
         return is_news
 
-    def take_notice(self, notice: Notice, track: ServerTrack, now: float) -> bool:
+    def apply_notice(self, notice: Notice, track: ServerTrack, now: float) -> bool:
         """Apply a limit that another instance received; return whether it changes the limit."""
-        return self._limits.take(track, ServerAdvice(notice.rate_limit), now - notice.seconds, now)
+        return self._limits.apply(track, ServerAdvice(notice.rate_limit), now - notice.seconds, now)
 
     def take_notices(self) -> tuple[Notice, ...]:
         """Return and clear the limits received here, to be sent to other instances."""
--- a/packages/decisions/src/persimmonusher_decisions/rate_limits.py
+++ b/packages/decisions/src/persimmonusher_decisions/rate_limits.py
@@ -55,7 +55,7 @@
         """Return the seconds between two turns of this instance, for a fleet-wide rate limit."""
         return self._entries / (SHARED_RATE_PART * max(MIN_RATE_PER_SECOND, rate))
 
-    def take(self, track: ServerTrack, advice: ServerAdvice, sent: float, now: float) -> bool:
+    def apply(self, track: ServerTrack, advice: ServerAdvice, sent: float, now: float) -> bool:
         """Apply the limit in an answer to a request sent at `sent`; return whether it changes.
 
         An answer without a limit ends the current one only if its request was sent after the limit
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -136,7 +136,7 @@
             # This instance can't reach the server, whether or not others can.
             self.suspect(track, tracks, profile, now)
         else:
-            self.take(notice, track, tracks, profile, now)
+            self.apply_notice(notice, track, tracks, profile, now)
 
     def _learn_duration(self, track: ServerTrack, in_a_row: bool) -> None:
         """Adapt the duration of suspicions to how long faults last in this service."""
@@ -163,7 +163,7 @@
         weight = max(NEWEST_LATENCY_WEIGHT, 1.0 / self._answers)
         self._usual_latency += weight * (latency - self._usual_latency)
 
-    def take(
+    def apply_notice(
         self,
         notice: Notice,
         track: ServerTrack,
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -205,10 +205,12 @@
             return False
         if notice.kind is NoticeKind.LIMITED:
             self._limits.count_entries(self._live, now)
-            return self._advice.take_notice(notice, track, now)
+            return self._advice.apply_notice(notice, track, now)
         if notice.kind is NoticeKind.CRASHED:
             self._quarantine.record_remote_break(notice.fingerprint, notice.server_id, now)
-        return self._suspicion.take(notice, track, self._tracks.values(), self._profile, now)
+        return self._suspicion.apply_notice(
+            notice, track, self._tracks.values(), self._profile, now
+        )
 
     def find_suspicion_seconds(self, server_id: ServerId, now: float) -> float:
         """Return the seconds for which first attempts still avoid a suspected server, or 0."""
@@ -233,14 +235,14 @@
             if total or track.server.failure_domain == self._failure_domain:
                 self._placement.record_load(track, total)
 
-    def take_advice(self, dispatch: Dispatch, advice: ServerAdvice, now: float) -> bool:
+    def apply_advice(self, dispatch: Dispatch, advice: ServerAdvice, now: float) -> bool:
         """Apply what a server's answer asks for; return whether it newly says that it leaves."""
         server = dispatch.server
         track = self._tracks.get(server.server_id)
         if track is None or track.server.boot_id != server.boot_id:
             return False
         self._limits.count_entries(self._live, now)
-        is_leaving = self._advice.take(track, dispatch, advice, now)
+        is_leaving = self._advice.apply(track, dispatch, advice, now)
         if is_leaving:
             self._rebuild(now)
         return is_leaving
--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -200,7 +200,7 @@
             rest = Rest(dispatch.server.server_id, index, self._now, advice.rest_seconds)
             self.seen.rests.append(rest)
         instance = self._instances[index]
-        instance.take_advice(dispatch, advice, self._now)
+        instance.apply_advice(dispatch, advice, self._now)
         outcome = Outcome(kind, self._now - dispatch.started)
         for released in instance.finish(dispatch, outcome, self._now):
             self._apply_decision(index, released)
--- a/packages/decisions/tests/test_rate_limits.py
+++ b/packages/decisions/tests/test_rate_limits.py
@@ -104,7 +104,7 @@
         """Make traffic whose only server names a limit in its first answer, at second 1."""
         self.traffic = make_traffic(servers=1, profile=PROFILE, live=live)
         first = dispatched(self.traffic.offer(make_request("r1", 0.9), 0.9))
-        self.traffic.take_advice(first, ServerAdvice(rate_limit=rate), 1.0)
+        self.traffic.apply_advice(first, ServerAdvice(rate_limit=rate), 1.0)
         self.traffic.finish(first, GOOD, 1.0)
 
     def count_sent(self, seconds: float, step: float = 0.01) -> int:
@@ -139,15 +139,15 @@
         self.traffic = make_traffic(servers=1, profile=PROFILE, live=36)
         early = dispatched(self.traffic.offer(make_request("r1", 0.5), 0.5))
         naming = dispatched(self.traffic.offer(make_request("r2", 0.6), 0.6))
-        self.traffic.take_advice(naming, ServerAdvice(rate_limit=1.0), 1.0)
-        self.traffic.take_advice(early, SILENT, 1.1)
+        self.traffic.apply_advice(naming, ServerAdvice(rate_limit=1.0), 1.0)
+        self.traffic.apply_advice(early, SILENT, 1.1)
         self.assertEqual(self.traffic.describe(1.2)[0].rate_limit, 1.0)
 
     # Guards against an unreadable limit ending the current one.
     def test_a_limit_that_can_not_be_read_changes_nothing(self) -> None:
         self.name_limit(1.0)
         later = dispatched(self.traffic.offer(make_request("r2", 9.0), 9.0))
-        self.traffic.take_advice(later, ServerAdvice(is_readable=False), 9.1)
+        self.traffic.apply_advice(later, ServerAdvice(is_readable=False), 9.1)
         self.assertEqual(self.traffic.describe(9.2)[0].rate_limit, 1.0)
 
     # Guards against a server with a limit of 0 getting no request that could show its end.
--- a/packages/decisions/tests/test_rests.py
+++ b/packages/decisions/tests/test_rests.py
@@ -68,7 +68,7 @@
     def ask_for_rest(self, traffic: ServiceTraffic, now: float) -> ServerId:
         """Have the server that gets the next request refuse it and ask for 3 s of rest."""
         sent = dispatched(traffic.offer(make_request(f"t{now}", now), now))
-        traffic.take_advice(sent, REST, now)
+        traffic.apply_advice(sent, REST, now)
         traffic.finish(sent, Outcome(OutcomeKind.REFUSED, 0.001), now)
         return sent.server.server_id
 
@@ -120,7 +120,7 @@
         self.ask_for_rest(self.traffic, 1.0)
         sent = dispatched(self.traffic.offer(make_request("r", 1.5), 1.5))
         outcome = Outcome(OutcomeKind.REFUSED, 0.001)
-        self.traffic.take_advice(sent, REST, 1.5)
+        self.traffic.apply_advice(sent, REST, 1.5)
         self.traffic.finish(sent, outcome, 1.5)
         decision = self.traffic.retry(sent, outcome, 1.5)
         assert isinstance(decision, Refusal), decision
@@ -130,9 +130,9 @@
     def test_neither_a_good_answer_nor_a_shorter_rest_ends_a_rest(self) -> None:
         early = dispatched(self.traffic.offer(make_request("e1", 0.9), 0.9))
         resting = early.server.server_id
-        self.traffic.take_advice(early, REST, 1.0)
-        self.traffic.take_advice(early, SILENT, 1.1)
-        self.traffic.take_advice(early, ServerAdvice(rest_seconds=0.5), 1.2)
+        self.traffic.apply_advice(early, REST, 1.0)
+        self.traffic.apply_advice(early, SILENT, 1.1)
+        self.traffic.apply_advice(early, ServerAdvice(rest_seconds=0.5), 1.2)
         for moment in range(8):
             self.assertNotEqual(self.choose(1.7 + 0.25 * moment), resting)
 
@@ -180,7 +180,7 @@
     def test_what_was_placed_before_is_withheld_and_placed_elsewhere(self) -> None:
         placed = dispatched(self.traffic.offer(make_request("r1", 0.9), 0.9))
         self.assertTrue(self.traffic.may_send(placed, 0.9))
-        self.traffic.take_advice(placed, REST, 1.0)
+        self.traffic.apply_advice(placed, REST, 1.0)
         self.assertFalse(self.traffic.may_send(placed, 1.0))
         outcome = Outcome(OutcomeKind.WITHHELD, 0.1)
         self.traffic.finish(placed, outcome, 1.0)
@@ -197,8 +197,8 @@
         placed = dispatched(traffic.offer(make_request("r1", 1.0), 1.0))
         sent = dispatched(traffic.offer(make_request("r2", 1.0), 1.0))
         leaving = sent.server
-        self.assertTrue(traffic.take_advice(sent, ServerAdvice(is_leaving=True), 1.1))
-        self.assertFalse(traffic.take_advice(sent, ServerAdvice(is_leaving=True), 1.2))
+        self.assertTrue(traffic.apply_advice(sent, ServerAdvice(is_leaving=True), 1.1))
+        self.assertFalse(traffic.apply_advice(sent, ServerAdvice(is_leaving=True), 1.2))
         self.assertIs(traffic.may_send(placed, 1.2), placed.server != leaving)
         self.assertFalse(traffic.may_send(sent, 1.2))
         later = replace(leaving, sequence=leaving.sequence + 1)
--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -130,7 +130,7 @@
                 request_id=dispatch.request.request_id,
                 lines_left_out=self._lines.take_left_out(),
             )
-        if live.traffic.take_advice(dispatch, advice, self._clock.monotonic()):
+        if live.traffic.apply_advice(dispatch, advice, self._clock.monotonic()):
             self._note_draining(dispatch.server)
         self._publish(live)
 
