--- a/packages/decisions/src/persimmonusher_decisions/advice_book.py
+++ b/packages/decisions/src/persimmonusher_decisions/advice_book.py
@@ -36,7 +36,7 @@
         """Apply a limit that another instance received; return whether it changes the limit."""
         return self._limits.apply(track, ServerAdvice(notice.rate_limit), now - notice.seconds, now)
 
-    def take_notices(self) -> tuple[Notice, ...]:
+    def pop_notices(self) -> tuple[Notice, ...]:
         """Return and clear the limits received here, to be sent to other instances."""
         notices, self._notices = tuple(self._notices), []
         return notices
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -101,7 +101,7 @@
         """Learned factor on the profile's `suspect_ms`."""
         self._answers = 0
 
-    def take_notices(self) -> tuple[Notice, ...]:
+    def pop_notices(self) -> tuple[Notice, ...]:
         """Return and clear the notices to be sent to other instances at once."""
         if not self._notices:
             return ()
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -191,9 +191,9 @@
         """
         return self._further.retry(self._profile, dispatch, outcome, now)
 
-    def take_notices(self) -> tuple[Notice, ...]:
+    def pop_notices(self) -> tuple[Notice, ...]:
         """Return and clear the notices to be sent to other instances at once."""
-        return (*self._suspicion.take_notices(), *self._advice.take_notices())
+        return (*self._suspicion.pop_notices(), *self._advice.pop_notices())
 
     def apply_notice(self, notice: Notice, now: float) -> bool:
         """Apply another instance's notice; return whether it changes how the server is used.
--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -204,7 +204,7 @@
         outcome = Outcome(kind, self._now - dispatch.started)
         for released in instance.finish(dispatch, outcome, self._now):
             self._apply_decision(index, released)
-        for notice in instance.take_notices():
+        for notice in instance.pop_notices():
             self._notify_others(notice)
         if kind is OutcomeKind.SUCCESS:
             self.seen.served += 1
--- a/packages/decisions/tests/fleet_simulation.py
+++ b/packages/decisions/tests/fleet_simulation.py
@@ -246,7 +246,7 @@
         outcome = Outcome(kind, self._now - dispatch.started)
         for released in instance.finish(dispatch, outcome, self._now):
             self._apply_decision(instance, released)
-        for notice in instance.take_notices():
+        for notice in instance.pop_notices():
             self._notify_others(notice)
         again = kind is OutcomeKind.REFUSED or (
             kind is OutcomeKind.FAILURE and dispatch.request.idempotent
--- a/packages/decisions/tests/test_heavy_load.py
+++ b/packages/decisions/tests/test_heavy_load.py
@@ -142,7 +142,7 @@
         self.assertEqual(traffic.find_suspicion_seconds(lost.server.server_id, 1.8), 0.0)
         traffic.advance(2.1)
         self.assertGreater(traffic.find_suspicion_seconds(lost.server.server_id, 2.1), 0.0)
-        self.assertEqual(traffic.take_notices(), (), "one in forty is slow without fault")
+        self.assertEqual(traffic.pop_notices(), (), "one in forty is slow without fault")
 
 
 class RecoveryTest(unittest.TestCase):
@@ -189,7 +189,7 @@
         self.traffic.finish(dispatch, GOOD, 1.2)
         self.send_notice(NoticeKind.FAILED, "g", 1.3)
         self.assertGreater(self.find_seconds(1.4), 0.0)
-        self.assertEqual(self.traffic.take_notices(), ())
+        self.assertEqual(self.traffic.pop_notices(), ())
 
 
 class UnreachedTest(unittest.TestCase):
@@ -223,7 +223,7 @@
         self.traffic.finish(dispatch, Outcome(OutcomeKind.UNREACHED, 0.2), 1.2)
         server = dispatch.server.server_id
         self.assertGreater(self.traffic.find_suspicion_seconds(server, 1.3), 0.0)
-        (notice,) = self.traffic.take_notices()
+        (notice,) = self.traffic.pop_notices()
         self.assertIs(notice.kind, NoticeKind.UNREACHED)
 
 
--- a/packages/decisions/tests/test_rests.py
+++ b/packages/decisions/tests/test_rests.py
@@ -186,7 +186,7 @@
         self.traffic.finish(placed, outcome, 1.0)
         again = dispatched(self.traffic.retry(placed, outcome, 1.0))
         self.assertNotEqual(again.server.server_id, placed.server.server_id)
-        self.assertEqual(self.traffic.take_notices(), ())
+        self.assertEqual(self.traffic.pop_notices(), ())
 
 
 class LeavingServerTest(unittest.TestCase):
--- a/packages/decisions/tests/test_suspicion.py
+++ b/packages/decisions/tests/test_suspicion.py
@@ -57,13 +57,13 @@
         dispatch = dispatched(first.offer(make_request("r"), 0.0))
         first.finish(dispatch, FAILED, 0.0)
         faulty = dispatch.server.server_id
-        (notice,) = first.take_notices()
+        (notice,) = first.pop_notices()
         self.assertEqual((notice.server_id, notice.kind), (faulty, NoticeKind.FAILED))
         second.apply_notice(notice, 0.01)
         for traffic in (first, second):
             self.assertEqual(serve(traffic, 60, 0.02)[faulty], 0)
         self.assertGreater(serve(second, 60, 0.1 + HOLD_SECONDS)[faulty], 0)
-        self.assertEqual(first.take_notices(), ())
+        self.assertEqual(first.pop_notices(), ())
 
     def test_the_floor_keeps_servers_when_most_fail(self) -> None:
         """Guards against overloading the last servers when all fail now and then.
@@ -199,7 +199,7 @@
     def see_failure(self, traffic: ServiceTraffic, name: str, now: float, seconds: float) -> Notice:
         dispatch = dispatched(traffic.offer(make_request(name, now), now))
         traffic.finish(dispatch, Outcome(OutcomeKind.FAILURE, seconds), now + seconds)
-        (notice,) = traffic.take_notices()
+        (notice,) = traffic.pop_notices()
         return notice
 
     def test_a_request_that_fails_after_its_work_is_no_proof_against_its_server(self) -> None:
--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -106,7 +106,7 @@
 
     def _publish(self, live: LiveService) -> None:
         """Log and publish the notices about servers that this instance has collected."""
-        notices = live.traffic.take_notices()
+        notices = live.traffic.pop_notices()
         if not notices:
             return
         for notice in notices:
