--- a/packages/decisions/src/persimmonusher_decisions/digests.py
+++ b/packages/decisions/src/persimmonusher_decisions/digests.py
@@ -30,9 +30,9 @@
         self, tracks: Collection[ServerTrack], quarantine: Quarantine, now: float
     ) -> EvidenceDigest | None:
         """Return the unsent evidence, or None if there is none or no digest is due."""
-        if not self._schedule.is_due(tracks, quarantine.has_news, now):
+        if not self._schedule.is_due(tracks, quarantine.has_pending_strikes, now):
             return None
-        strikes = quarantine.take_strikes(now)
+        strikes = quarantine.pop_strikes(now)
         lines = take_evidence(tracks, now)
         if not lines and not strikes:
             return None
--- a/packages/decisions/src/persimmonusher_decisions/quarantine.py
+++ b/packages/decisions/src/persimmonusher_decisions/quarantine.py
@@ -138,11 +138,11 @@
         return len(self._broken_at) >= NETWORK_BREAK_SERVERS
 
     @property
-    def has_news(self) -> bool:
+    def has_pending_strikes(self) -> bool:
         """Return whether there are strikes to send to the assessor, or soon may be."""
         return bool(self._outbox or self._unsettled)
 
-    def take_strikes(self, now: float) -> tuple[Strike, ...]:
+    def pop_strikes(self, now: float) -> tuple[Strike, ...]:
         """Return and clear the strikes to send to the assessor."""
         while self._unsettled and now - self._unsettled[0].at >= SETTLE_SECONDS:
             item = self._unsettled.popleft()
