--- a/packages/decisions/src/persimmonusher_decisions/learning.py
+++ b/packages/decisions/src/persimmonusher_decisions/learning.py
@@ -48,7 +48,7 @@
         self._quarantine = quarantine
         self._suspicion = suspicion
 
-    def take_success(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+    def learn_from_success(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Learn from a successful answer."""
         dispatch, track = attempt.dispatch, attempt.track
         fingerprint = dispatch.request.fingerprint
@@ -59,7 +59,7 @@
             self._locality.record(outcome.answer_bytes)
             self._placement.far_load = self._locality.far_load
 
-    def take_failure(
+    def learn_from_failure(
         self,
         attempt: Attempt,
         outcome: Outcome,
@@ -81,7 +81,7 @@
         if not self._is_request_at_fault(dispatch, outcome.kind):
             self._evidence.learn(attempt, outcome)
 
-    def take_load(self, track: ServerTrack, outcome: Outcome, now: float) -> None:
+    def learn_from_load(self, track: ServerTrack, outcome: Outcome, now: float) -> None:
         """Learn from the load that an answer reports.
 
         Call it after the attempt was removed from those in flight, since the load counts the rest.
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -265,12 +265,14 @@
         if kind not in (OutcomeKind.CANCELLED, OutcomeKind.WITHHELD):
             self._admission.record_attempt(kind is OutcomeKind.REFUSED)
         if kind is OutcomeKind.SUCCESS:
-            self._learning.take_success(attempt, outcome, now)
+            self._learning.learn_from_success(attempt, outcome, now)
         elif kind not in SILENT_KINDS:
-            self._learning.take_failure(attempt, outcome, self._tracks.values(), self._profile, now)
+            self._learning.learn_from_failure(
+                attempt, outcome, self._tracks.values(), self._profile, now
+            )
         elif kind is OutcomeKind.DRAINING:
             self._drop_draining(dispatch, now)
-        self._learning.take_load(track, outcome, now)
+        self._learning.learn_from_load(track, outcome, now)
         return self._release(now) if len(self._admission.queue) else ()
 
     def withdraw(self, request: Request) -> None:
