--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -12,7 +12,7 @@
 )
 from persimmonusher_decisions.floor import Candidate, apply_floor
 from persimmonusher_decisions.peers import COMMON_CAUSE_SHARE, ServerView, View
-from persimmonusher_decisions.readmission import Absence, WaitHistory
+from persimmonusher_decisions.readmission import EjectionRecord, EjectionBackoff
 from persimmonusher_decisions.server import BackendServer, ServerState
 from persimmonusher_decisions.strikes import StrikeBoard
 from persimmonusher_model.identifiers import FailureDomain, InstanceId, ServerId, ServiceName
@@ -53,8 +53,8 @@
         self._slots: dict[ServerId, int] = {}
         self._boots: dict[ServerId, int] = {}
         self._views: dict[FailureDomain, View] = {EVERYWHERE: View()}
-        self._absences: dict[Place, Absence] = {}
-        self._waits: dict[Place, WaitHistory] = {}
+        self._records: dict[Place, EjectionRecord] = {}
+        self._backoffs: dict[Place, EjectionBackoff] = {}
         self._digests: dict[InstanceId, tuple[int, int]] = {}
         self._slice_from: float | None = None
         self._held_back = 0
@@ -84,10 +84,10 @@
         self._boots = {server.server_id: server.boot_id for server in known}
         for view in self._views.values():
             view.keep_servers(self._slots)
-        for place in [place for place in self._absences if place[1] not in self._boots]:
-            del self._absences[place]
-        for place in [place for place in self._waits if place[1] not in self._boots]:
-            del self._waits[place]
+        for place in [place for place in self._records if place[1] not in self._boots]:
+            del self._records[place]
+        for place in [place for place in self._backoffs if place[1] not in self._boots]:
+            del self._backoffs[place]
 
     def add_domain(self, domain: FailureDomain) -> bool:
         """Add a failure domain whose instances ask for verdicts; False if it is already known.
@@ -113,9 +113,9 @@
         for line in digest.servers:
             if line.server_id not in self._slots:
                 continue
-            absence = self._find_absence(domain, line.server_id)
-            if absence is not None:
-                absence.count_probes(line)
+            record = self._find_record(domain, line.server_id)
+            if record is not None:
+                record.count_probes(line)
                 continue
             view.add(line)
             everywhere.add(line)
@@ -129,7 +129,7 @@
             self._slice_from = now
             for view in self._views.values():
                 view.close_slice(self._sensitivity)
-            self._review_absences(now)
+            self._review_records(now)
             self._eject_faulty(now)
         self._sequence += 1
         ejections = self._list_ejections()
@@ -145,37 +145,37 @@
             note=self._explain_restraint(),
         )
 
-    def _find_absence(self, domain: FailureDomain, server_id: ServerId) -> Absence | None:
-        absence = self._absences.get((EVERYWHERE, server_id))
-        return absence or self._absences.get((domain, server_id))
+    def _find_record(self, domain: FailureDomain, server_id: ServerId) -> EjectionRecord | None:
+        record = self._records.get((EVERYWHERE, server_id))
+        return record or self._records.get((domain, server_id))
 
     def _reset_restarted(self, server_id: ServerId, now: float) -> None:
         for view in self._views.values():
             if server_id in view.servers:
                 view.servers[server_id].reset()
-        for place, absence in self._absences.items():
+        for place, record in self._records.items():
             if place[1] == server_id:
-                absence.begin_probation(now)
-                absence.reason = f"started again; was out as {absence.reason}"
+                record.begin_probation(now)
+                record.reason = f"started again; was out as {record.reason}"
 
-    def _review_absences(self, now: float) -> None:
-        for place, absence in list(self._absences.items()):
+    def _review_records(self, now: float) -> None:
+        for place, record in list(self._records.items()):
             view = self._views[place[0]]
             usual = (view.usual_failing, view.usual_slow)
-            if absence.state is EjectionState.EJECTED:
-                if now >= absence.until:
-                    absence.begin_probation(now)
-            elif absence.has_failed(*usual):
-                self._eject(place, absence.strength, _describe_probes(absence), now)
-            elif absence.has_passed(*usual):
-                del self._absences[place]
+            if record.state is EjectionState.EJECTED:
+                if now >= record.until:
+                    record.begin_probation(now)
+            elif record.has_failed(*usual):
+                self._eject(place, record.strength, _describe_probes(record), now)
+            elif record.has_passed(*usual):
+                del self._records[place]
                 self._reset(place)
 
     def _eject_faulty(self, now: float) -> None:
         for domain, view in self._views.items():
             for server_id, server in view.servers.items():
                 threshold = 1.0 if domain == EVERYWHERE else DOMAIN_THRESHOLD
-                if server.score < threshold or self._find_absence(domain, server_id):
+                if server.score < threshold or self._find_record(domain, server_id):
                     continue
                 if domain != EVERYWHERE or self._do_domains_agree(server_id):
                     reason = describe_evidence(server, view, domain)
@@ -188,8 +188,10 @@
         return agreeing >= AGREEING_DOMAINS_SHARE * len(scores)
 
     def _eject(self, place: Place, strength: float, reason: str, now: float) -> None:
-        wait = self._waits.setdefault(place, WaitHistory()).begin(now)
-        self._absences[place] = Absence(EjectionState.EJECTED, now, now + wait, reason, strength)
+        wait = self._backoffs.setdefault(place, EjectionBackoff()).begin(now)
+        self._records[place] = EjectionRecord(
+            EjectionState.EJECTED, now, now + wait, reason, strength
+        )
 
     def _reset(self, place: Place) -> None:
         domain, server_id = place
@@ -204,8 +206,8 @@
         for domain in self._views:
             if domain == EVERYWHERE:
                 continue
-            seen = self._list_absences(domain)
-            candidates = [Candidate(name, absence.strength) for name, absence in seen.items()]
+            seen = self._list_records(domain)
+            candidates = [Candidate(name, record.strength) for name, record in seen.items()]
             verdict = apply_floor(candidates, self._slots, self._floor_percent)
             held_back.update(verdict.held_back)
             ejections.extend(
@@ -215,10 +217,10 @@
         self._held_back = len(held_back)
         return tuple(ejections)
 
-    def _list_absences(self, domain: FailureDomain) -> dict[ServerId, Absence]:
+    def _list_records(self, domain: FailureDomain) -> dict[ServerId, EjectionRecord]:
         return {
-            server_id: absence
-            for (place, server_id), absence in self._absences.items()
+            server_id: record
+            for (place, server_id), record in self._records.items()
             if place in (EVERYWHERE, domain)
         }
 
@@ -254,8 +256,8 @@
     )
 
 
-def _describe_probes(absence: Absence) -> str:
+def _describe_probes(record: EjectionRecord) -> str:
     return (
-        f"still ill on probation: of {absence.good + absence.bad} probes {absence.bad} failed, "
-        f"{absence.slow} were slow"
+        f"still ill on probation: of {record.good + record.bad} probes {record.bad} failed, "
+        f"{record.slow} were slow"
     )
--- a/packages/decisions/src/persimmonusher_decisions/readmission.py
+++ b/packages/decisions/src/persimmonusher_decisions/readmission.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Absence:
+class EjectionRecord:
     """One server's ejection and probation, for one failure domain or for all."""
 
     state: EjectionState
@@ -62,7 +62,7 @@
         return self.good >= GOOD_PROBES_TO_PASS and not self.has_failed(usual_failing, usual_slow)
 
 
-class WaitHistory:
+class EjectionBackoff:
     """Exponential backoff of one server's ejections, against flapping.
 
     A flapping server passes probation and fails soon after. With a constant wait, callers would
