--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -14,7 +14,7 @@
 from persimmonusher_decisions.peers import COMMON_CAUSE_SHARE, ServerView, View
 from persimmonusher_decisions.readmission import EjectionRecord, EjectionBackoff
 from persimmonusher_decisions.server import BackendServer, ServerState
-from persimmonusher_decisions.strikes import StrikeBoard
+from persimmonusher_decisions.strikes import StrikeCounter
 from persimmonusher_model.identifiers import FailureDomain, InstanceId, ServerId, ServiceName
 from persimmonusher_model.profile import Profile
 
@@ -58,7 +58,7 @@
         self._digests: dict[InstanceId, tuple[int, int]] = {}
         self._slice_from: float | None = None
         self._held_back = 0
-        self._strikes = StrikeBoard(profile.crash_strikes, profile.quarantine_ms / 1000.0)
+        self._strikes = StrikeCounter(profile.crash_strikes, profile.quarantine_ms / 1000.0)
         self.replace_profile(profile)
 
     def replace_profile(self, profile: Profile) -> None:
--- a/packages/decisions/src/persimmonusher_decisions/strikes.py
+++ b/packages/decisions/src/persimmonusher_decisions/strikes.py
@@ -11,7 +11,7 @@
 from persimmonusher_model.identifiers import ServerId
 
 
-class StrikeBoard:
+class StrikeCounter:
     """Counts the servers that broke while running each fingerprint, over all entry instances.
 
     A caller may resend a request that crashes servers, and each resend may reach another entry
