--- a/packages/decisions/src/persimmonusher_decisions/fanout.py
+++ b/packages/decisions/src/persimmonusher_decisions/fanout.py
@@ -47,7 +47,7 @@
         self._free_at = float("-inf")
         """When a full burst of calls is allowed again."""
 
-    def take(self, now: float) -> float:
+    def reserve_call(self, now: float) -> float:
         """Count a call and return the seconds by which it must be delayed."""
         begin = max(now, self._free_at)
         self._free_at = begin + self._seconds
--- a/packages/decisions/tests/test_fanout.py
+++ b/packages/decisions/tests/test_fanout.py
@@ -59,14 +59,14 @@
         pace = CallPace(10.0, 4)
         for second in range(20):
             for number in range(3):
-                self.assertEqual(pace.take(second + 0.01 * number), 0.0)
+                self.assertEqual(pace.reserve_call(second + 0.01 * number), 0.0)
 
     def test_many_notices_a_second_share_calls(self) -> None:
         """A large fleet: there is always another notice when a call has ended."""
         pace = CallPace(10.0, 4)
         now, calls = 0.0, 0
         while now < 20.0:
-            now += pace.take(now) + 0.003
+            now += pace.reserve_call(now) + 0.003
             calls += 1
         self.assertLessEqual(calls, 205)
         self.assertGreaterEqual(calls, 190)
--- a/packages/node/src/persimmonusher_node/tiers/notice_relay.py
+++ b/packages/node/src/persimmonusher_node/tiers/notice_relay.py
@@ -118,7 +118,7 @@
         pace = self._paces.setdefault(address, CallPace(CALLS_PER_SECOND, CALL_BURST))
         try:
             while queued:
-                await asyncio.sleep(pace.take(self._clock.monotonic()))
+                await asyncio.sleep(pace.reserve_call(self._clock.monotonic()))
                 batch = pb.NoticeBatch(notices=queued, relayed=True)
                 queued.clear()
                 stub = ControlStub(self._channels.get(address))
