--- a/packages/decisions/src/persimmonusher_decisions/digests.py
+++ b/packages/decisions/src/persimmonusher_decisions/digests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from persimmonusher_decisions.evidence import DigestSchedule, take_evidence
+from persimmonusher_decisions.evidence import DigestSchedule, pop_due_evidence
 from persimmonusher_decisions.evidence_messages import EvidenceDigest
 from persimmonusher_decisions.quarantine import Quarantine
 from persimmonusher_decisions.track import ServerTrack
@@ -33,7 +33,7 @@
         if not self._schedule.is_due(tracks, quarantine.has_pending_strikes, now):
             return None
         strikes = quarantine.pop_strikes(now)
-        lines = take_evidence(tracks, now)
+        lines = pop_due_evidence(tracks, now)
         if not lines and not strikes:
             return None
         self._sequence += 1
--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -248,11 +248,11 @@
     return track.failed > 0 or (track.slow >= URGENT_SLOW_ANSWERS and 2 * track.slow > track.timed)
 
 
-def take_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
+def pop_due_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
     """Return the lines of the next digest, abnormal servers first, and mark them as sent."""
     due = [track for track in tracks if _is_due(track, now)]
     due.sort(key=lambda track: (not track.is_abnormal, track.evidence_sent_at))
-    return tuple(track.take_evidence(now) for track in due[:MAX_SERVERS_IN_DIGEST])
+    return tuple(track.pop_evidence(now) for track in due[:MAX_SERVERS_IN_DIGEST])
 
 
 def _is_due(track: ServerTrack, now: float) -> bool:
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -143,7 +143,7 @@
         """Return whether there is unsent evidence against the server."""
         return self.failed > 0 or self.slow > 0
 
-    def take_evidence(self, now: float) -> ServerEvidence:
+    def pop_evidence(self, now: float) -> ServerEvidence:
         """Return the unsent evidence and reset its counts."""
         line = ServerEvidence(self.server_id, self.answered, self.failed, self.timed, self.slow)
         self.answered = self.failed = self.timed = self.slow = 0
