--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -48,15 +48,15 @@
 class Attempt:
     """One attempt in flight."""
 
-    __slots__ = ("dispatch", "overdue", "stuck", "taken", "track")
+    __slots__ = ("dispatch", "overdue", "stuck", "collected", "track")
 
     def __init__(self, dispatch: Dispatch, track: ServerTrack) -> None:
         self.dispatch = dispatch
         self.track = track
         self.overdue = False
         self.stuck = False
-        self.taken = False
-        """Whether `take_overdue` has returned this attempt."""
+        self.collected = False
+        """Whether `collect_newly_overdue` has returned this attempt."""
 
 
 class EvidenceLog:
@@ -146,17 +146,17 @@
             return SLOW_FACTOR * self.recent_latency
         return limit
 
-    def take_overdue(self, now: float) -> list[Attempt]:
+    def collect_newly_overdue(self, now: float) -> list[Attempt]:
         """Return the attempts that became overdue since the last call; none under saturation."""
         if self._slow_share >= SATURATED_SLOW_SHARE:
             return []
         overdue = [item for item in self._attempts.values() if self._is_overdue(item, now)]
         for attempt in overdue:
-            attempt.taken = True
+            attempt.collected = True
         return overdue
 
     def _is_overdue(self, attempt: Attempt, now: float) -> bool:
-        if attempt.taken:
+        if attempt.collected:
             return False
         limit = self.find_slow_limit(attempt.dispatch.request.request_class)
         return limit is not None and now - attempt.dispatch.started > limit
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -286,7 +286,7 @@
         """
         self._limits.count_entries(self._live, now)
         self._evidence.mark_overdue(now)
-        for attempt in self._evidence.take_overdue(now):
+        for attempt in self._evidence.collect_newly_overdue(now):
             self._suspicion.suspect(attempt.track, self._tracks.values(), self._profile, now)
         if self._lease.expire(now):
             self._rebuild(now)
--- a/packages/decisions/tests/ablation.py
+++ b/packages/decisions/tests/ablation.py
@@ -96,7 +96,7 @@
     ),
     Ablation("two compared", patches=((placement, "COMPARED_SERVERS", 16),)),
     Ablation("floor", {"health_floor_percent": 0}),
-    Ablation("overdue requests", patches=((EvidenceLog, "take_overdue", find_nothing),)),
+    Ablation("overdue requests", patches=((EvidenceLog, "collect_newly_overdue", find_nothing),)),
     Ablation("shared loads", patches=((ServiceTraffic, "apply_loads", ignore),)),
     Ablation("far servers weighed", {"far_load_percent": 0}),
     Ablation("penalty", patches=((placement.Placement, "penalize", ignore),)),
--- a/packages/decisions/tests/test_heavy_load.py
+++ b/packages/decisions/tests/test_heavy_load.py
@@ -73,7 +73,7 @@
         load = replace(LOOKUPS_AND_PURCHASES, requests_a_second=285.0)
         with (
             patch.object(placement, "BUSY_LOAD_PER_SLOT", 1_000.0),
-            patch.object(EvidenceLog, "take_overdue", return_value=[]),
+            patch.object(EvidenceLog, "collect_newly_overdue", return_value=[]),
         ):
             fixed = play(load)
         proved = play(load)
