--- a/packages/agreement/src/persimmonusher_agreement/freshness.py
+++ b/packages/agreement/src/persimmonusher_agreement/freshness.py
@@ -76,10 +76,10 @@
     An answer counts once the keeper's revision is applied here too.
 
     >>> lease = FreshnessLease()
-    >>> lease.grant(10.0, 0.5, Revision(7), held=Revision(6))
+    >>> lease.record_answer(10.0, 0.5, Revision(7), held=Revision(6))
     >>> lease.find_age(11.0)
     inf
-    >>> lease.hold(Revision(7))
+    >>> lease.record_revision(Revision(7))
     >>> lease.find_age(11.0)
     1.5
     """
@@ -88,7 +88,9 @@
         self._known_at = float("-inf")
         self._grants: deque[Grant] = deque()
 
-    def grant(self, asked_at: float, age: float, revision: Revision, held: Revision) -> None:
+    def record_answer(
+        self, asked_at: float, age: float, revision: Revision, held: Revision
+    ) -> None:
         """Record a keeper's answer to a request that was sent at `asked_at`.
 
         `age` is the keeper's own staleness in seconds, `revision` its revision, and `held` the
@@ -100,7 +102,7 @@
         elif len(self._grants) < MAX_WAITING_GRANTS:
             self._grants.append(Grant(known_at, revision))
 
-    def hold(self, revision: Revision) -> None:
+    def record_revision(self, revision: Revision) -> None:
         """Record that all changes up to a revision are in force here."""
         due = [grant for grant in self._grants if grant.revision <= revision]
         for grant in due:
--- a/packages/agreement/tests/test_freshness.py
+++ b/packages/agreement/tests/test_freshness.py
@@ -23,28 +23,30 @@
 
     # Guards against counting an answer as fresh although it was long in transit.
     def test_an_answer_counts_from_when_it_was_asked_for(self) -> None:
-        self.lease.grant(10.0, 0.4, Revision(3), held=Revision(3))
+        self.lease.record_answer(10.0, 0.4, Revision(3), held=Revision(3))
         self.assertAlmostEqual(self.lease.find_age(12.0), 2.4)
 
     # Guards against an entry that is never fresh while changes follow each other quickly.
     def test_answers_wait_for_their_revision_and_do_not_push_each_other_out(self) -> None:
         for second in range(100):
-            self.lease.hold(Revision(max(0, second - 3)))
-            self.lease.grant(float(second), 0.0, Revision(second), held=Revision(second - 3))
+            self.lease.record_revision(Revision(max(0, second - 3)))
+            self.lease.record_answer(
+                float(second), 0.0, Revision(second), held=Revision(second - 3)
+            )
             if second > 3:
                 self.assertEqual(self.lease.find_age(float(second)), 3.0)
 
     # Guards against answers whose revision never arrives blocking those that count at once.
     def test_answers_that_never_count_leave_room_for_others(self) -> None:
         for second in range(100):
-            self.lease.grant(float(second), 0.0, Revision(9), held=Revision(1))
-        self.lease.grant(100.0, 0.0, Revision(1), held=Revision(1))
+            self.lease.record_answer(float(second), 0.0, Revision(9), held=Revision(1))
+        self.lease.record_answer(100.0, 0.0, Revision(1), held=Revision(1))
         self.assertEqual(self.lease.find_age(101.0), 1.0)
 
     # Guards against a late answer making the entry's configuration look older again.
     def test_an_older_answer_changes_nothing(self) -> None:
-        self.lease.grant(10.0, 0.0, Revision(1), held=Revision(1))
-        self.lease.grant(9.0, 0.5, Revision(1), held=Revision(1))
+        self.lease.record_answer(10.0, 0.0, Revision(1), held=Revision(1))
+        self.lease.record_answer(9.0, 0.5, Revision(1), held=Revision(1))
         self.assertEqual(self.lease.find_age(11.0), 1.0)
 
 
--- a/packages/node/src/persimmonusher_node/tiers/follow_lease.py
+++ b/packages/node/src/persimmonusher_node/tiers/follow_lease.py
@@ -55,9 +55,9 @@
         self.list_loads: Callable[[], Mapping[ServerId, int]] = dict
         """Returns this entry's requests in progress by server; set by the daemon."""
 
-    def hold(self, revision: Revision) -> None:
+    def record_revision(self, revision: Revision) -> None:
         """Record that every change up to a revision is in force here."""
-        self._lease.hold(revision)
+        self._lease.record_revision(revision)
 
     def is_current(self) -> bool:
         """Return whether no missing change can be in force elsewhere for over `stale_seconds`."""
@@ -96,7 +96,7 @@
             return
         age = standing.majority_age_ms / 1000.0
         self._answered_by, self._keeper_age = place.address, age
-        self._lease.grant(asked_at, age, Revision(standing.revision), self._view.revision())
+        self._lease.record_answer(asked_at, age, Revision(standing.revision), self._view.revision())
 
     def _find_age(self) -> float:
         return self._lease.find_age(self._clock.monotonic())
--- a/packages/node/src/persimmonusher_node/tiers/follower.py
+++ b/packages/node/src/persimmonusher_node/tiers/follower.py
@@ -314,7 +314,7 @@
             records, self._records = tuple(self._records), []
             since, revision = Revision(part.since), Revision(part.revision)
             self._view.take(Batch(part.lineage, since, revision, records, part.whole))
-            self.lease.hold(self._view.revision())
+            self.lease.record_revision(self._view.revision())
 
     def _check_better_keeper(self, place: KeeperPlace, followed: float) -> None:
         """After a minimum time with a keeper, raise BetterKeeperError if there is a better one."""
