--- a/packages/agreement/src/persimmonusher_agreement/register.py
+++ b/packages/agreement/src/persimmonusher_agreement/register.py
@@ -138,9 +138,9 @@
 
     def needs_share(self, now: float) -> bool:
         """Return whether records must still be read from peers."""
-        return not self.is_whole(now) and bool(self.list_unread())
+        return not self.has_all_records(now) and bool(self.list_unread_peers())
 
-    def list_unread(self) -> tuple[InstanceId, ...]:
+    def list_unread_peers(self) -> tuple[InstanceId, ...]:
         """List the peers from which no complete records have been read yet."""
         if self._roster is None:
             return ()
@@ -163,7 +163,7 @@
             if self._is_register(request.register, key)
             for entry in held.values()
         )
-        trusted = self.is_whole(now) and self._knows_version(request.roster_version)
+        trusted = self.has_all_records(now) and self._knows_version(request.roster_version)
         version = self._roster.version if self._roster else 0
         boots = dict(self._peer_boots)
         return ShareAnswer(self._instance, trusted, version, records, boots)
@@ -182,7 +182,7 @@
         elif answer.trusted:
             self._answered.add(answer.register)
 
-    def is_whole(self, now: float) -> bool:
+    def has_all_records(self, now: float) -> bool:
         """Return whether no record that this register granted can be missing, for any key."""
         if now - self._started > self._longest_window:
             return True
@@ -192,12 +192,12 @@
         if self._roster.find_boot(self._instance) == self._boot:
             return True
         size = min(REGISTERS_PER_KEY, len(self._roster.members))
-        return len(self.list_unread()) <= count_majority(size) - 2
+        return len(self.list_unread_peers()) <= count_majority(size) - 2
 
     def _may_grant(self, request: ClaimRequest, now: float) -> bool:
         if request.token in self._released or len(self._entries) >= MAX_RECORDS:
             return False
-        return self.is_whole(now) or self._has_read_enough(request.key)
+        return self.has_all_records(now) or self._has_read_enough(request.key)
 
     def _raise_boot(self, known: int) -> None:
         """Raise the own boot above one that peers know, and read the peers again.
--- a/packages/agreement/tests/test_claims.py
+++ b/packages/agreement/tests/test_claims.py
@@ -154,7 +154,7 @@
         again.import_share(registers[NAMES[1]].export_share(again.make_share_request(), 2.0), 2.0)
         self.assertEqual(again.boot, 52)
         again.replace_roster(roster)
-        self.assertEqual(len(again.list_unread()), 4)
+        self.assertEqual(len(again.list_unread_peers()), 4)
 
     def test_a_restarted_register_waits_for_a_roster_that_peers_know(self) -> None:
         # The restarted instance got its configuration from an instance that lags behind; its peers
@@ -184,7 +184,7 @@
         reborn = self.start(NAMES[0], 2)
         reborn.replace_roster(Roster(2, ROSTER.members, ROSTER.members))
         self.read_share(reborn, "bcde")
-        self.assertEqual(len(reborn.list_unread()), 4)
+        self.assertEqual(len(reborn.list_unread_peers()), 4)
 
 
 class ClaimRoundTest(unittest.TestCase):
--- a/packages/lab/src/persimmonusher_lab/claims_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/claims_matrix.py
@@ -148,7 +148,7 @@
     def _read_shares(self) -> None:
         for name, register in self._registers.items():
             if register.needs_share(self._now) and self._step % 5 == 0:
-                for peer in register.list_unread():
+                for peer in register.list_unread_peers():
                     self._send(name, peer, register.make_share_request())
 
     def _send(
--- a/packages/lab/tests/test_claims_matrix.py
+++ b/packages/lab/tests/test_claims_matrix.py
@@ -15,7 +15,7 @@
 class ForgetfulRegister(Register):
     """Grants at once after a restart, without reading its share."""
 
-    def is_whole(self, now: float) -> bool:
+    def has_all_records(self, now: float) -> bool:
         return True
 
 
--- a/packages/node/src/persimmonusher_node/claims.py
+++ b/packages/node/src/persimmonusher_node/claims.py
@@ -325,10 +325,10 @@
     async def _read_share(self) -> None:
         while True:
             now = self._clock.monotonic()
-            if self.register.roster is not None and self.register.is_whole(now):
+            if self.register.roster is not None and self.register.has_all_records(now):
                 return
             addresses = self._find_addresses()
-            unread = [name for name in self.register.list_unread() if name in addresses]
+            unread = [name for name in self.register.list_unread_peers() if name in addresses]
             answers = await asyncio.gather(
                 *(self._read_peer_share(addresses[name]) for name in unread)
             )
--- a/packages/node/tests/test_claims_fleet.py
+++ b/packages/node/tests/test_claims_fleet.py
@@ -93,7 +93,7 @@
     def wait_whole(self, node: Node) -> None:
         register = node.claims.register
         with eventlet.Timeout(10.0):
-            while not register.is_whole(SystemClock().monotonic()):
+            while not register.has_all_records(SystemClock().monotonic()):
                 eventlet.sleep(0.05)
 
     def test_a_resend_through_another_instance_gets_the_first_answer(self) -> None:
