--- a/packages/agreement/src/persimmonusher_agreement/log_replica.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_replica.py
@@ -179,7 +179,7 @@
         """
         return reading - max(self._freshness.known_at, self._find_majority_contact(reading))
 
-    def find_silence(self, reading: float) -> float:
+    def find_leader_silence(self, reading: float) -> float:
         """Return the seconds since the last message from a leader; 0 while this replica leads."""
         return 0.0 if self._leadership is not None else self._clock.find_leader_age(reading)
 
--- a/packages/node/src/persimmonusher_node/keeper_joining.py
+++ b/packages/node/src/persimmonusher_node/keeper_joining.py
@@ -72,7 +72,10 @@
             return True
         if not self._formation.asks_again:
             return False
-        return self._role.keeper.replica.find_silence(self._clock.monotonic()) > LEADERLESS_SECONDS
+        return (
+            self._role.keeper.replica.find_leader_silence(self._clock.monotonic())
+            > LEADERLESS_SECONDS
+        )
 
     async def _take_step(self) -> None:
         identity = self._role.identity
