--- a/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
@@ -112,7 +112,7 @@
         self.configuration = configuration or Configuration()
         self._applied = 0
         self._verdicts: dict[str, Verdict] = {}
-        self._take_installed()
+        self._apply_installed()
 
     @property
     def replica(self) -> LogReplica:
@@ -201,8 +201,8 @@
     def flush(self) -> KeeperOutput:
         """Make everything durable, apply committed entries, and return messages and verdicts."""
         messages = self._replica.flush()
-        self._take_installed()
-        for entry in self._replica.take_committed():
+        self._apply_installed()
+        for entry in self._replica.pop_committed():
             self._applied = entry.index
             if isinstance(entry.command, Change):
                 self._verdicts[entry.command.change_id] = self.configuration.apply(entry.command)
@@ -233,8 +233,8 @@
         """Return whether a change of keepers is not committed yet."""
         return self._replica.log.members_index > self._replica.commit
 
-    def _take_installed(self) -> None:
-        snapshot = self._replica.take_installed()
+    def _apply_installed(self) -> None:
+        snapshot = self._replica.pop_installed()
         if snapshot is not None:
             self.configuration.restore(snapshot.state)
             self._applied = snapshot.index
--- a/packages/agreement/src/persimmonusher_agreement/log_replica.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_replica.py
@@ -198,13 +198,13 @@
         self._outbox.clear()
         return outbox
 
-    def take_committed(self) -> tuple[Entry, ...]:
+    def pop_committed(self) -> tuple[Entry, ...]:
         """Return the entries committed since the last call, to be applied in order."""
         entries = self.log.list_from(self._applied + 1, self.commit - self._applied)
         self._applied = self.commit
         return entries
 
-    def take_installed(self) -> Snapshot | None:
+    def pop_installed(self) -> Snapshot | None:
         """Return a snapshot that replaced the log since the last call."""
         installed, self._installed = self._installed, None
         return installed
