--- a/packages/agreement/src/persimmonusher_agreement/directory.py
+++ b/packages/agreement/src/persimmonusher_agreement/directory.py
@@ -94,7 +94,7 @@
         entries) while callers' requests pass, so most of a service's servers count as lost within
         seconds. Harm: the remaining few are overloaded, or every request is refused. Limit: while
         more servers are lost than remain, the lost ones are listed too, and detection by real
-        requests finds out which answer. After `lost_listing` seconds a lost server isn't listed any
+        requests finds out which answer. After `lost_listing_seconds` seconds a lost server isn't listed any
         more, unless the service has no live one.
         """
         live = self._live.get(service, NO_SERVERS)
@@ -117,10 +117,10 @@
 
     def expire(self, active: float) -> list[ServiceName]:
         """Remove what is older than its retention; return the services whose list may differ."""
-        kept_since = active - self._limits.stopped_retention
+        kept_since = active - self._limits.stopped_retention_seconds
         while self._tombstones and self._tombstones[0][0] < kept_since:
             self._forget(self._tombstones.popleft()[1])
-        listed_since = active - self._limits.lost_listing
+        listed_since = active - self._limits.lost_listing_seconds
         believed: list[ServiceName] = []
         while self._recently_lost and self._recently_lost[0][0] < listed_since:
             _, record = self._recently_lost.popleft()
--- a/packages/agreement/src/persimmonusher_agreement/member_table.py
+++ b/packages/agreement/src/persimmonusher_agreement/member_table.py
@@ -93,7 +93,11 @@
         merged = [record for record in died if self.apply(record, active) is not None]
         self.declared_count += len(merged)
         limits = self._limits
-        retention = limits.dead_retention if self.sees_majority else limits.minority_retention
+        retention = (
+            limits.dead_retention_seconds
+            if self.sees_majority
+            else limits.minority_retention_seconds
+        )
         kept_since = active - retention
         for name in [name for name, since in self._removed_at.items() if since < kept_since]:
             self._forget(name)
@@ -133,7 +137,7 @@
         if not record.is_tombstone:
             self.live[name] = record
             if record.state is MemberState.SUSPECT:
-                timeout = self._limits.suspicion_timeout(len(self.live))
+                timeout = self._limits.suspicion_timeout_seconds(len(self.live))
                 self._suspicions[name] = active + timeout
             return
         self.live.pop(name, None)
--- a/packages/agreement/src/persimmonusher_agreement/membership.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership.py
@@ -127,7 +127,7 @@
         limits = self._limits
         self._probe(active)
         self._run_every(limits.gossip_interval, self._outbox.spread, active)
-        self._run_every(limits.silence_interval, self._check_heartbeats, active)
+        self._run_every(limits.silence_check_seconds, self._check_heartbeats, active)
         self._run_every(limits.reconnect_interval, self._probe_dead, active)
         alone = len(self.members.live) == 1
         self._run_every(1.0 if alone else limits.seed_interval, self._join, active)
@@ -183,7 +183,7 @@
         pause = self._time.take_pause()
         if pause:
             self.prober.abandon_round()
-        if pause > self._limits.stopped_retention * MAX_ISOLATION_SHARE:
+        if pause > self._limits.stopped_retention_seconds * MAX_ISOLATION_SHARE:
             self._mark_unconfirmed(active)
             self._drop_until = active + self._limits.drop_after_pause_seconds
         return active
@@ -204,7 +204,10 @@
         self.directory.may_confirm = self.members.sees_majority
         if not self.members.sees_majority:
             self._minority_seen_at = active
-            if active - self._isolated_since > limits.stopped_retention * MAX_ISOLATION_SHARE:
+            if (
+                active - self._isolated_since
+                > limits.stopped_retention_seconds * MAX_ISOLATION_SHARE
+            ):
                 self._mark_unconfirmed(active)
             return
         self._isolated_since = active
--- a/packages/agreement/src/persimmonusher_agreement/membership_limits.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership_limits.py
@@ -13,7 +13,7 @@
     gossip_fanout: int = 3
     probe_interval: float = 1.0
     """One ping and one answer a second: about 0.3 KB/s with headers, whatever the fleet's size."""
-    direct_timeout: float = 0.3
+    direct_timeout_seconds: float = 0.3
     """A hundred times the round trip within a region."""
     probe_helpers: int = 3
     unanswered_seconds: float = 4.0
@@ -23,20 +23,20 @@
     """Multiplied by log10 of the fleet's size, at least by 1: time for a refutation to arrive."""
     cut_rounds: int = 3
     """Rounds answered only through helpers before a path is reported as cut; one may be loss."""
-    dead_retention: float = 12 * 3600.0
+    dead_retention_seconds: float = 12 * 3600.0
     """For this time a dead instance is probed now and then, and counts as part of the fleet, so
     that the smaller side of a cut knows that it is the smaller side."""
-    minority_retention: float = 7 * 86400.0
+    minority_retention_seconds: float = 7 * 86400.0
     """The same on the smaller side, which must not forget the larger one while it is cut off."""
-    stopped_retention: float = 24 * 3600.0
+    stopped_retention_seconds: float = 24 * 3600.0
     """For tombstones of servers. An instance that is cut off or paused for a third of it no longer
     sends on the server records that it holds: `Directory.mark_all_unconfirmed`."""
     confirm_seconds: float = 10.0
     """For unconfirmed servers to be confirmed once a majority is seen again: ten announcements."""
     drop_after_pause_seconds: float = 1.0
-    """Time after a pause of a third of `stopped_retention` in which received datagrams are dropped,
+    """Time after a pause of a third of `stopped_retention_seconds` in which received datagrams are dropped,
     since those that waited in the sockets are as old as the pause."""
-    lost_listing: float = 3600.0
+    lost_listing_seconds: float = 3600.0
     """For this time, lost servers count as a sign of a common cause: `Directory.list_servers`."""
     reconnect_interval: float = 2.0
     seed_interval: float = 10.0
@@ -61,12 +61,12 @@
     fetches the directory. Meanwhile the rate is bounded by 30 rumours of 1.3 KB and 20 exchanges of
     18 KB a second."""
     watchers: int = 3
-    heartbeat_timeout: float = 5.0
-    silence_interval: float = 0.5
+    heartbeat_timeout_seconds: float = 5.0
+    silence_check_seconds: float = 0.5
     """Between checks which watched servers are silent."""
     heartbeat_rate: float = 2000.0
     """Bytes a second that one instance may spend on forwarding heartbeats."""
 
-    def suspicion_timeout(self, fleet_size: int) -> float:
+    def suspicion_timeout_seconds(self, fleet_size: int) -> float:
         """Return how long a suspected instance has to refute: 5 s at 48, 10 s at 2,500."""
         return self.suspicion_seconds * max(1.0, math.log10(max(1, fleet_size)))
--- a/packages/agreement/src/persimmonusher_agreement/probing.py
+++ b/packages/agreement/src/persimmonusher_agreement/probing.py
@@ -106,7 +106,7 @@
         running = self._round
         if running is None or running.has_asked_helpers or running.answered_directly:
             return step
-        if active - running.started >= self._limits.direct_timeout:
+        if active - running.started >= self._limits.direct_timeout_seconds:
             running.has_asked_helpers = True
             step.outgoing = self._ask_helpers(running)
         return step
--- a/packages/agreement/src/persimmonusher_agreement/watch.py
+++ b/packages/agreement/src/persimmonusher_agreement/watch.py
@@ -78,7 +78,9 @@
     @property
     def timeout(self) -> float:
         """Return the active seconds of silence after which the other watchers are asked."""
-        return max(self._limits.heartbeat_timeout, HEARTBEATS_IN_TIMEOUT * float(self.stride))
+        return max(
+            self._limits.heartbeat_timeout_seconds, HEARTBEATS_IN_TIMEOUT * float(self.stride)
+        )
 
     @property
     def watched_count(self) -> int:
--- a/packages/agreement/tests/test_directory_faults.py
+++ b/packages/agreement/tests/test_directory_faults.py
@@ -7,7 +7,7 @@
 from persimmonusher_lab.virtual_fleet import VirtualFleet, VirtualServer
 
 MAX_DRAIN_SECONDS = 2.0
-SHORT_LIMITS = MembershipLimits(dead_retention=60.0, stopped_retention=120.0)
+SHORT_LIMITS = MembershipLimits(dead_retention_seconds=60.0, stopped_retention_seconds=120.0)
 
 
 def start_fleet(
--- a/packages/agreement/tests/test_membership_faults.py
+++ b/packages/agreement/tests/test_membership_faults.py
@@ -8,7 +8,7 @@
 from persimmonusher_lab.virtual_links import Duplicated, Lost, Reordered
 
 SETTLE_SECONDS = 30.0
-SHORT_LIMITS = MembershipLimits(dead_retention=60.0, stopped_retention=120.0)
+SHORT_LIMITS = MembershipLimits(dead_retention_seconds=60.0, stopped_retention_seconds=120.0)
 
 
 def start_fleet(
--- a/packages/agreement/tests/test_membership_parts.py
+++ b/packages/agreement/tests/test_membership_parts.py
@@ -137,9 +137,9 @@
         self.assertTrue(self.table.sees_majority)
         self.table.apply(make_member(1, 1, 2), 0.0)
         self.assertFalse(self.table.sees_majority)
-        self.table.expire(LIMITS.dead_retention + 1)
+        self.table.expire(LIMITS.dead_retention_seconds + 1)
         self.assertFalse(self.table.sees_majority)
-        self.table.expire(LIMITS.minority_retention + 1)
+        self.table.expire(LIMITS.minority_retention_seconds + 1)
         self.assertTrue(self.table.sees_majority)
 
 
@@ -180,7 +180,7 @@
             counts.append(len(self.directory.list_servers(SERVICE)))
         self.assertEqual(counts, [7, 6, 5, 4, 8, 8, 8, 8])
         self.directory.apply(make_server(0, sequence=2), 0.0)
-        self.directory.expire(LIMITS.lost_listing + 1)
+        self.directory.expire(LIMITS.lost_listing_seconds + 1)
         self.assertEqual(len(self.directory.list_servers(SERVICE)), 1)
 
     def test_lost_servers_that_were_leaving_are_not_listed(self) -> None:
@@ -207,9 +207,9 @@
 
     def test_tombstones_expire(self) -> None:
         self.directory.apply(make_server(state=3), 10.0)
-        self.directory.expire(LIMITS.stopped_retention)
+        self.directory.expire(LIMITS.stopped_retention_seconds)
         self.assertIsNotNone(self.directory.find(ServerId("worker-1")))
-        self.directory.expire(LIMITS.stopped_retention + 11.0)
+        self.directory.expire(LIMITS.stopped_retention_seconds + 11.0)
         self.assertIsNone(self.directory.find(ServerId("worker-1")))
 
 
--- a/packages/agreement/tests/test_membership_steps.py
+++ b/packages/agreement/tests/test_membership_steps.py
@@ -127,7 +127,7 @@
         A virtual machine is paused for a day and continues. Its sockets hold rumours and an
         announcement of a server that stopped long ago, and whose tombstone all have removed.
         """
-        self.now += LIMITS.stopped_retention
+        self.now += LIMITS.stopped_retention_seconds
         self.receive(wrap(Rumour(), READY))
         announced, _ = self.fleet.announce(READY, self.now)
         self.assertEqual((announced.accepted, announced.relayed), (False, False))
--- a/packages/lab/src/persimmonusher_lab/membership_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/membership_matrix.py
@@ -36,11 +36,11 @@
 DRAIN_BOUND: Final = 5.0
 """A few seconds: with two of six entries cut off, the first announcements may go to these."""
 LIMITS: Final = MembershipLimits(
-    dead_retention=18.0,
-    stopped_retention=36.0,
-    minority_retention=1e6,
+    dead_retention_seconds=18.0,
+    stopped_retention_seconds=36.0,
+    minority_retention_seconds=1e6,
     confirm_seconds=4.0,
-    lost_listing=8.0,
+    lost_listing_seconds=8.0,
     seed_interval=4.0,
     summary_bytes=96,
 )
--- a/packages/lab/src/persimmonusher_lab/membership_measure.py
+++ b/packages/lab/src/persimmonusher_lab/membership_measure.py
@@ -123,7 +123,7 @@
 
 def start_fleet(size: int, seed: int, loss: float = 0.0) -> VirtualFleet:
     """Return a settled fleet without the watch for silent servers."""
-    limits = MembershipLimits(silence_interval=1e9)
+    limits = MembershipLimits(silence_check_seconds=1e9)
     fleet = VirtualFleet(size, seed, domains=DOMAINS, limits=limits, loss=loss)
     fleet.introduce_all()
     fleet.run(3.0)
--- a/packages/node/src/persimmonusher_node/membership.py
+++ b/packages/node/src/persimmonusher_node/membership.py
@@ -76,7 +76,9 @@
         self.dropped_datagrams = 0
         """Number of datagrams received with a wrong tag or in an unknown version."""
         self.sent_bytes = 0
-        chosen = limits or MembershipLimits(heartbeat_timeout=settings.heartbeat_timeout_seconds)
+        chosen = limits or MembershipLimits(
+            heartbeat_timeout_seconds=settings.heartbeat_timeout_seconds
+        )
         own = make_own_record(settings, clock)
         self.fleet = FleetMembership(own, settings.seeds, random, chosen)
 
