--- a/packages/agreement/src/persimmonusher_agreement/election_clock.py
+++ b/packages/agreement/src/persimmonusher_agreement/election_clock.py
@@ -21,7 +21,7 @@
         self._election_at = reading
         self._split_votes = 0
         """Split votes since the last message from a leader."""
-        self.draw_election_time(timing.first_election)
+        self.draw_election_time(timing.first_election_seconds)
 
     def move(self, reading: float) -> None:
         """Advance `now` by the time since the last reading, within bounds.
@@ -33,7 +33,7 @@
         """
         passed = reading - self.reading
         self.reading = reading
-        self.now += min(max(passed, 0.0), self._timing.election_timeout / 2)
+        self.now += min(max(passed, 0.0), self._timing.election_timeout_seconds / 2)
 
     def record_leader_contact(self) -> None:
         """Record that a message from the leader has just arrived."""
@@ -44,7 +44,7 @@
 
     def has_recent_leader(self) -> bool:
         """Return whether a message from a leader arrived within the last election timeout."""
-        return self.now - self._leader_heard_at < self._timing.election_timeout
+        return self.now - self._leader_heard_at < self._timing.election_timeout_seconds
 
     def find_leader_age(self, reading: float) -> float:
         """Return the seconds since the last message from a leader, by two readings of the clock.
@@ -64,7 +64,7 @@
 
         The wait is between one and two times `shortest`, by default the election timeout.
         """
-        shortest = self._timing.election_timeout if shortest is None else shortest
+        shortest = self._timing.election_timeout_seconds if shortest is None else shortest
         self._election_at = self.now + shortest * (1 + self._random.random())
 
     def retry_after_split(self) -> None:
@@ -74,7 +74,9 @@
         short as the steps in which they read the time, they would always stand together.
         """
         timing = self._timing
-        shortest = min(timing.election_timeout, timing.split_vote_wait * 2**self._split_votes)
+        shortest = min(
+            timing.election_timeout_seconds, timing.split_vote_wait_seconds * 2**self._split_votes
+        )
         self._split_votes += 1
         wait = shortest * (1 + self._random.random())
         self._election_at = min(self._election_at, self.now + wait)
--- a/packages/agreement/src/persimmonusher_agreement/log_leadership.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_leadership.py
@@ -82,7 +82,7 @@
         self._log = log
         self._outbox = outbox
         self._timing = timing
-        self._heartbeat_at = clock.now + timing.heartbeat
+        self._heartbeat_at = clock.now + timing.heartbeat_seconds
         self._progress = {keeper: Progress(0, log.last_index + 1, clock.now)}
         self.refresh_members()
 
@@ -98,7 +98,7 @@
     def advance(self, commit: int) -> None:
         """Send a round of heartbeats when it is due."""
         if self._clock.now >= self._heartbeat_at:
-            self._heartbeat_at = self._clock.now + self._timing.heartbeat
+            self._heartbeat_at = self._clock.now + self._timing.heartbeat_seconds
             self.start_round(commit)
 
     def start_round(self, commit: int) -> int:
@@ -190,7 +190,7 @@
         snapshot = self._log.snapshot
         if snapshot is None or self._clock.now < progress.snapshot_at:
             return
-        progress.snapshot_at = self._clock.now + self._timing.snapshot_retry
+        progress.snapshot_at = self._clock.now + self._timing.snapshot_retry_seconds
         self._outbox.append(SnapshotRequest(self._keeper, peer, self._term, snapshot, self.round))
 
     def acknowledge_own(self) -> None:
@@ -235,7 +235,7 @@
 
     def has_lost_quorum(self, now: float) -> bool:
         """Return whether no majority has answered within the last election timeout."""
-        since = now - self._timing.election_timeout
+        since = now - self._timing.election_timeout_seconds
         heard = {keeper for keeper, item in self._progress.items() if item.heard_at >= since}
         return not self._log.members.has_majority(heard | {self._keeper})
 
--- a/packages/agreement/src/persimmonusher_agreement/log_timing.py
+++ b/packages/agreement/src/persimmonusher_agreement/log_timing.py
@@ -12,15 +12,15 @@
     stand at the same time.
     """
 
-    heartbeat: float = 0.2
-    election_timeout: float = 1.0
-    snapshot_retry: float = 5.0
-    first_election: float | None = None
+    heartbeat_seconds: float = 0.2
+    election_timeout_seconds: float = 1.0
+    snapshot_retry_seconds: float = 5.0
+    first_election_seconds: float | None = None
     """The shortest first wait after a start; None means the election timeout. After all keepers
     were killed at once there is no leader, and entries that were killed with them have no
     configuration until one is elected. A single keeper that starts disturbs no leader: keepers that
     hear one refuse it their pre-votes."""
-    split_vote_wait: float = 0.2
+    split_vote_wait_seconds: float = 0.2
     """The shortest wait of a candidate after a split vote: far above the time in which votes are
     requested and granted, and far below the election timeout, whose length is needed only to
     distinguish a lost leader from a late one."""
--- a/packages/agreement/tests/test_freshness.py
+++ b/packages/agreement/tests/test_freshness.py
@@ -11,7 +11,7 @@
 STEP_SECONDS = 0.02
 CHANGE_SECONDS = 0.3
 FAULT_FREE_SECONDS = 3.0
-ELECTION_SECONDS = TIMING.election_timeout
+ELECTION_SECONDS = TIMING.election_timeout_seconds
 HEARTBEAT_SECONDS = TIMING.heartbeat
 SEEDS = (*range(30), 1108, 1272)
 """With the last two, a delayed message makes a restarted keeper repeat a former answer."""
--- a/packages/agreement/tests/test_log_elections.py
+++ b/packages/agreement/tests/test_log_elections.py
@@ -6,7 +6,7 @@
 from persimmonusher_lab import log_cluster
 from persimmonusher_lab.log_schedule import LogSchedule
 
-TIMING = LogTiming(heartbeat=0.4, election_timeout=1.2, first_election=0.3)
+TIMING = LogTiming(heartbeat_seconds=0.4, election_timeout_seconds=1.2, first_election_seconds=0.3)
 MAX_WAIT_SECONDS = 1.8
 STEP_SECONDS = 0.05
 
--- a/packages/lab/src/persimmonusher_lab/log_cluster.py
+++ b/packages/lab/src/persimmonusher_lab/log_cluster.py
@@ -28,7 +28,7 @@
 from persimmonusher_model.errors import UsherError
 from persimmonusher_model.identifiers import Revision
 
-TIMING = LogTiming(heartbeat=0.2, election_timeout=1.0, snapshot_retry=1.0)
+TIMING = LogTiming(heartbeat_seconds=0.2, election_timeout_seconds=1.0, snapshot_retry_seconds=1.0)
 
 ANSWERS_A_START: Final = 1_000_000
 
--- a/packages/node/src/persimmonusher_node/tiers/keeper_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_daemon.py
@@ -34,7 +34,9 @@
 from persimmonusher_node.tiers.leader import LeaderCalls
 from persimmonusher_node.tiers.quota_service import QuotaService
 
-TIMING: Final = LogTiming(heartbeat=0.4, election_timeout=1.2, first_election=0.3)
+TIMING: Final = LogTiming(
+    heartbeat_seconds=0.4, election_timeout_seconds=1.2, first_election_seconds=0.3
+)
 """Idle keepers send each other only heartbeats, half as many as by default because traffic between
 failure domains is expensive. Three of them fit into an election timeout, so that one lost message
 starts no election, and a new leader is elected well within the seconds that an operator waits."""
