--- a/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
@@ -81,7 +81,7 @@
         return cls(copies=losses + 1, voters=2 * losses + 1)
 
 
-ANY_KEEPERS: Final = LossTolerance()
+DEFAULT_TOLERANCE: Final = LossTolerance()
 
 
 class ConfigurationKeeper:
@@ -100,7 +100,7 @@
         snapshot_entries: int = SNAPSHOT_ENTRIES,
         configuration: Configuration | None = None,
         compacts_itself: bool = True,
-        tolerance: LossTolerance = ANY_KEEPERS,
+        tolerance: LossTolerance = DEFAULT_TOLERANCE,
         first_answer: int = 1,
     ) -> None:
         self._replica = LogReplica(
--- a/packages/lab/src/persimmonusher_lab/log_cluster.py
+++ b/packages/lab/src/persimmonusher_lab/log_cluster.py
@@ -12,7 +12,7 @@
 
 from persimmonusher_agreement.configuration import Configuration
 from persimmonusher_agreement.configuration_keeper import (
-    ANY_KEEPERS,
+    DEFAULT_TOLERANCE,
     ConfigurationKeeper,
     KeeperOutput,
     LossTolerance,
@@ -55,7 +55,7 @@
         seed: int,
         size: int = 3,
         snapshot_entries: int = 8,
-        tolerance: LossTolerance = ANY_KEEPERS,
+        tolerance: LossTolerance = DEFAULT_TOLERANCE,
     ) -> None:
         self._tolerance = tolerance
         self.random = Random(seed)
--- a/packages/lab/src/persimmonusher_lab/log_schedule.py
+++ b/packages/lab/src/persimmonusher_lab/log_schedule.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from persimmonusher_agreement.configuration_keeper import (
-    ANY_KEEPERS,
+    DEFAULT_TOLERANCE,
     KeeperOutput,
     LossTolerance,
 )
@@ -61,7 +61,7 @@
         faults: tuple[Fault, ...] = (),
         tick: float = TICK,
         size: int = 3,
-        tolerance: LossTolerance = ANY_KEEPERS,
+        tolerance: LossTolerance = DEFAULT_TOLERANCE,
     ) -> None:
         self.cluster = LogCluster(seed, size, tolerance=tolerance)
         self._tick_seconds = tick
--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -16,7 +16,7 @@
 from grpclib._typing import IServable
 
 from persimmonusher_agreement.configuration_keeper import (
-    ANY_KEEPERS,
+    DEFAULT_TOLERANCE,
     SNAPSHOT_ENTRIES,
     ConfigurationKeeper,
     KeeperOutput,
@@ -98,7 +98,7 @@
         client: ConfigurationClient,
         random: Random | None = None,
         formation: KeeperFormation | None = None,
-        tolerance: LossTolerance = ANY_KEEPERS,
+        tolerance: LossTolerance = DEFAULT_TOLERANCE,
         timing: LogTiming = LogTiming(),  # noqa: B008 - frozen
     ) -> None:
         if settings.data_folder is None:
