--- a/packages/agreement/src/persimmonusher_agreement/directory.py
+++ b/packages/agreement/src/persimmonusher_agreement/directory.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Announced:
+class AnnouncementResult:
     """The result of an announcement."""
 
     accepted: bool
@@ -62,14 +62,14 @@
         self.live_count = 0
         """Servers that are not stopped, not lost and not unconfirmed."""
 
-    def announce(self, record: ServerRecord, active: float) -> Announced:
+    def announce(self, record: ServerRecord, active: float) -> AnnouncementResult:
         """Process a backend server's announcement of itself."""
         held = self.find(record.server_id)
         if held is not None and record.version < held.version:
-            return Announced(accepted=False, changed=False)
+            return AnnouncementResult(accepted=False, changed=False)
         if held is not None and record.describe_content() == held.describe_content():
-            return Announced(accepted=True, changed=False)
-        return Announced(accepted=True, changed=self.apply(record, active) is not None)
+            return AnnouncementResult(accepted=True, changed=False)
+        return AnnouncementResult(accepted=True, changed=self.apply(record, active) is not None)
 
     def apply(self, record: ServerRecord, active: float) -> ServerRecord | None:
         """Merge a record; return the one to send on, or None if it brought nothing new."""
--- a/packages/agreement/src/persimmonusher_agreement/membership.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership.py
@@ -18,7 +18,7 @@
 
 from persimmonusher_agreement.active_time import ActiveTime
 from persimmonusher_agreement.anti_entropy import MAX_REPAIR_BYTES, split_records
-from persimmonusher_agreement.directory import Announced, Directory
+from persimmonusher_agreement.directory import AnnouncementResult, Directory
 from persimmonusher_agreement.exchanges import Exchanges
 from persimmonusher_agreement.gossip import GossipQueue, count_transmissions
 from persimmonusher_agreement.member_record import MemberRecord
@@ -153,11 +153,11 @@
         self._handlers[type(envelope.body)](envelope.body, envelope, source, active)
         return self._outbox.drain()
 
-    def announce(self, record: ServerRecord, now: float) -> tuple[Announced, list[Effect]]:
+    def announce(self, record: ServerRecord, now: float) -> tuple[AnnouncementResult, list[Effect]]:
         """Process a backend server's announcement to this instance, about one a second."""
         active = self._advance(now)
         if active < self._drop_until:
-            return Announced(accepted=False, changed=False, relayed=False), []
+            return AnnouncementResult(accepted=False, changed=False, relayed=False), []
         announced = self.directory.announce(record, active)
         if announced.changed:
             self._publish_change(record, active)
--- a/packages/node/src/persimmonusher_node/membership.py
+++ b/packages/node/src/persimmonusher_node/membership.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from persimmonusher_agreement.directory import Announced
+from persimmonusher_agreement.directory import AnnouncementResult
 from persimmonusher_agreement.member_record import MemberRecord, MemberState
 from persimmonusher_agreement.membership import FleetMembership
 from persimmonusher_agreement.membership_limits import MembershipLimits
@@ -106,7 +106,7 @@
         """Call back with the service whose backend servers changed."""
         self._on_servers_change.append(callback)
 
-    def announce(self, record: ServerRecord) -> Announced:
+    def announce(self, record: ServerRecord) -> AnnouncementResult:
         """Record a backend server's announcement and send other instances what they need of it."""
         announced, effects = self.fleet.announce(record, self._clock.monotonic())
         self._carry_out(effects)
