--- a/packages/agreement/src/persimmonusher_agreement/keeper_choice.py
+++ b/packages/agreement/src/persimmonusher_agreement/keeper_choice.py
@@ -31,12 +31,12 @@
         self._random = random
         self._avoid_until: dict[str, float] = {}
 
-    def avoid(self, address: str, until: float) -> None:
+    def avoid_until(self, address: str, until: float) -> None:
         """Choose this keeper only after all others until the time `until`."""
         self._avoid_until[address] = until
 
     def is_avoided(self, address: str, now: float) -> bool:
-        """Return whether `avoid` was called for a keeper and its time isn't over."""
+        """Return whether `avoid_until` was called for a keeper and its time isn't over."""
         return self._avoid_until.get(address, now) > now
 
     def choose(self, places: Sequence[KeeperPlace], now: float) -> KeeperPlace:
--- a/packages/agreement/tests/test_keeper_choice.py
+++ b/packages/agreement/tests/test_keeper_choice.py
@@ -35,7 +35,7 @@
         choices = make_choices(DOMAIN_WITHOUT_KEEPER)
         first = choices[0].choose(PLACES, 0.0)
         for choice in choices:
-            choice.avoid(first.address, 5.0)
+            choice.avoid_until(first.address, 5.0)
         seconds = {choice.choose(PLACES, 1.0) for choice in choices}
         self.assertEqual(len(seconds), 1)
         (second,) = seconds
@@ -58,7 +58,7 @@
     def test_where_all_are_avoided_the_one_whose_time_ends_first_is_asked(self) -> None:
         choice = KeeperChoice("d1", Random(1))
         for number, place in enumerate(PLACES):
-            choice.avoid(place.address, 5.0 - number)
+            choice.avoid_until(place.address, 5.0 - number)
         self.assertEqual(choice.choose(PLACES, 0.0), PLACES[-1])
         self.assertIsNone(choice.find_better(PLACES[1], PLACES, 0.0))
 
--- a/packages/node/src/persimmonusher_node/tiers/follower.py
+++ b/packages/node/src/persimmonusher_node/tiers/follower.py
@@ -203,7 +203,7 @@
             **describe_freshness(self.find_freshness()),
         )
         self._place = None
-        self._choice.avoid(place.address, self._clock.monotonic() + avoid_seconds)
+        self._choice.avoid_until(place.address, self._clock.monotonic() + avoid_seconds)
 
     async def _pause(self) -> None:
         await asyncio.sleep(RETRY_PAUSE_SECONDS * self._random.uniform(0.5, 1.5))
