--- a/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
@@ -99,7 +99,7 @@
         timing: LogTiming = LogTiming(),  # noqa: B008 - frozen
         snapshot_entries: int = SNAPSHOT_ENTRIES,
         configuration: Configuration | None = None,
-        compacts_itself: bool = True,
+        compacts_on_flush: bool = True,
         tolerance: LossTolerance = DEFAULT_TOLERANCE,
         first_answer: int = 1,
     ) -> None:
@@ -108,7 +108,7 @@
         )
         self._tolerance = tolerance
         self._snapshot_entries = snapshot_entries
-        self._compacts_itself = compacts_itself
+        self._compacts_on_flush = compacts_on_flush
         self.configuration = configuration or Configuration()
         self._applied = 0
         self._verdicts: dict[str, Verdict] = {}
@@ -206,7 +206,7 @@
             self._applied = entry.index
             if isinstance(entry.command, Change):
                 self._verdicts[entry.command.change_id] = self.configuration.apply(entry.command)
-        snapshot = self.capture_if_due() if self._compacts_itself else None
+        snapshot = self.capture_if_due() if self._compacts_on_flush else None
         if snapshot is not None:
             self.compact(snapshot)
         verdicts, self._verdicts = self._verdicts, {}
--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -247,7 +247,7 @@
                 self._clock.monotonic(),
                 self._timing,
                 snapshot_entries=SNAPSHOT_ENTRIES,
-                compacts_itself=False,
+                compacts_on_flush=False,
                 tolerance=self._tolerance,
                 first_answer=self._random.getrandbits(FIRST_ANSWER_BITS),
             )
