--- a/packages/agreement/src/persimmonusher_agreement/configuration_store.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_store.py
@@ -87,7 +87,7 @@
         records.reverse()
         return Batch(self.lineage, since, self.revision, tuple(records), whole)
 
-    def take(self, batch: Batch) -> tuple[ObjectKey, ...]:
+    def apply_batch(self, batch: Batch) -> tuple[ObjectKey, ...]:
         """Apply a batch as a whole and return the changed keys; ignore an old batch.
 
         Guards against a replica that goes back: a late answer of a slow peer has a lower revision,
--- a/packages/agreement/tests/test_configuration.py
+++ b/packages/agreement/tests/test_configuration.py
@@ -159,13 +159,13 @@
             replica = ConfigurationStore()
             for name in "abcde":
                 self.change(name, {})
-            replica.take(self.source.collect_since(replica.revision))
+            replica.apply_batch(self.source.collect_since(replica.revision))
             for name in "abcde"[: min(away, 4)]:
                 self.change(name, None)
             self.change("e", {"ramp_ms": 5})
             batch = self.source.collect_since(replica.revision)
             self.assertEqual(batch.whole, away == 8)
-            replica.take(batch)
+            replica.apply_batch(batch)
             self.assertEqual(replica.revision, self.source.revision)
             self.assertEqual(self.list_names(replica), self.list_names(self.source.store))
             for name in self.list_names(replica):
@@ -180,18 +180,18 @@
         self.change("a", {})
         late = self.source.collect_since(Revision(0))
         self.change("a", {"ramp_ms": 1})
-        replica.take(self.source.collect_since(Revision(0)))
+        replica.apply_batch(self.source.collect_since(Revision(0)))
         other = Batch("other", Revision(0), Revision(99), (), True)
         for batch in (late, other):
-            self.assertEqual(replica.take(batch), ())
+            self.assertEqual(replica.apply_batch(batch), ())
             self.assertEqual((replica.revision, self.list_names(replica)), (2, ["a"]))
 
     def test_a_replica_serves_another_replica(self) -> None:
         first, second = ConfigurationStore(), ConfigurationStore()
         for name in "abc":
             self.change(name, {})
-            first.take(self.source.collect_since(first.revision))
-        second.take(first.collect_since(second.revision))
+            first.apply_batch(self.source.collect_since(first.revision))
+        second.apply_batch(first.collect_since(second.revision))
         self.assertEqual(second.list_all(), self.source.store.list_all())
 
 
--- a/packages/lab/src/persimmonusher_lab/log_cluster.py
+++ b/packages/lab/src/persimmonusher_lab/log_cluster.py
@@ -155,7 +155,7 @@
         batch = running.configuration.collect_since(before)
         for record in batch.records:
             self.invariants.check_record(record)
-        store.take(batch)
+        store.apply_batch(batch)
         assert store.revision >= before, "the revision of an entry went down"
 
     def form_if_empty(self) -> None:
--- a/packages/node/src/persimmonusher_node/applied_configuration.py
+++ b/packages/node/src/persimmonusher_node/applied_configuration.py
@@ -49,7 +49,7 @@
                 refused=batch.lineage,
                 refused_revision=batch.revision,
             )
-        touched = self.store.take(batch)
+        touched = self.store.apply_batch(batch)
         self._derive(touched)
         return touched
 
