--- a/packages/agreement/src/persimmonusher_agreement/membership.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership.py
@@ -113,7 +113,7 @@
         return self._store.digest
 
     @property
-    def is_heard(self) -> bool:
+    def has_peer_contact(self) -> bool:
         """Return whether others answer this instance, or it is the whole fleet."""
         return self.members.is_alone or self.prober.has_recent_answer(self._time.seconds)
 
@@ -165,7 +165,7 @@
         if announced.accepted:
             for outgoing in self.heartbeats.forward(record, active):
                 self._outbox.send(outgoing)
-        return replace(announced, relayed=self.is_heard), self._outbox.drain()
+        return replace(announced, relayed=self.has_peer_contact), self._outbox.drain()
 
     def leave(self, now: float) -> list[Effect]:
         """Notify several instances at once that this one leaves; call nothing else afterwards."""
--- a/packages/agreement/tests/test_membership_steps.py
+++ b/packages/agreement/tests/test_membership_steps.py
@@ -151,10 +151,10 @@
         assert isinstance(body, Ping)
         number = int(pings[-1].address.split(":")[0].rsplit(".", 1)[1])
         self.receive(wrap(Ack(body.sequence, InstanceId(f"entry-{number}")), sender=number))
-        self.assertTrue(self.fleet.is_heard)
+        self.assertTrue(self.fleet.has_peer_contact)
         for _ in range(50):
             self.step()
-        self.assertFalse(self.fleet.is_heard)
+        self.assertFalse(self.fleet.has_peer_contact)
 
     def step(self) -> list[Effect]:
         self.now += 0.1
--- a/packages/node/src/persimmonusher_node/directory.py
+++ b/packages/node/src/persimmonusher_node/directory.py
@@ -29,7 +29,7 @@
 
     def relays_announcements(self) -> bool:
         """Return whether another instance has answered this one lately, or there is none."""
-        return self._membership.is_heard()
+        return self._membership.has_peer_contact()
 
     def list_servers(self, service: ServiceName) -> tuple[BackendServer, ...]:
         """List the service's servers that are not stopped and not lost."""
--- a/packages/node/src/persimmonusher_node/membership.py
+++ b/packages/node/src/persimmonusher_node/membership.py
@@ -94,9 +94,9 @@
         """List the live instances that answer only through others, for operators."""
         return self.fleet.prober.cut_paths
 
-    def is_heard(self) -> bool:
+    def has_peer_contact(self) -> bool:
         """Return whether another instance has answered this one lately, or there is none."""
-        return self.fleet.is_heard
+        return self.fleet.has_peer_contact
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call back whenever `list_live` changes."""
