--- a/packages/decisions/tests/ablation.py
+++ b/packages/decisions/tests/ablation.py
@@ -26,21 +26,21 @@
 MIXED = replace(
     LOOKUPS_AND_PURCHASES,
     requests_a_second=285.0,
-    ill_seconds=9.0,
-    ill_chance=0.3,
+    fault_seconds=9.0,
+    fault_chance=0.3,
     seconds=30.0,
 )
-ENTRIES = Load(requests_a_second=56.0, ill_seconds=9.0, ill_chance=0.3)
+ENTRIES = Load(requests_a_second=56.0, fault_seconds=9.0, fault_chance=0.3)
 FILINGS = Load(
     instances=36,
     servers=9,
     slots=6,
     requests_a_second=36.0,
     work_seconds=0.5,
-    ill_every=12.0,
-    ill_seconds=12.0,
-    ill_chance=0.3,
-    ill_share=0.9,
+    fault_every=12.0,
+    fault_seconds=12.0,
+    fault_chance=0.3,
+    fault_share=0.9,
 )
 LOADS = {
     "33 servers, mixed, busy": MIXED,
--- a/packages/decisions/tests/fleet_simulation.py
+++ b/packages/decisions/tests/fleet_simulation.py
@@ -45,13 +45,13 @@
     """Factor on the request rate in the first `burst_seconds` of every `burst_every` seconds."""
     burst_every: float = 10.0
     burst_seconds: float = 3.0
-    ill_every: float = 9.0
-    """Period in seconds: each server is faulty for the first `ill_seconds` of its periods, which
+    fault_every: float = 9.0
+    """Period in seconds: each server is faulty for the first `fault_seconds` of its periods, which
     start at a random phase."""
-    ill_seconds: float = 2.7
-    ill_chance: float = 1.0
+    fault_seconds: float = 2.7
+    fault_chance: float = 1.0
     """Probability that a server is faulty in a period."""
-    ill_share: float = 0.75
+    fault_share: float = 0.75
     """Part of the requests that a faulty server fails at once."""
     shed_share: float = 0.0
     """Part of the requests that every server refuses, from `shed_from` on for `shed_seconds`."""
@@ -113,18 +113,18 @@
     def __init__(self, load: Load, random: Random) -> None:
         self._load = load
         self._random = random
-        self._phase = random.random() * load.ill_every
+        self._phase = random.random() * load.fault_every
         self._draws: list[float] = []
         self.running = 0
         self.waiting: deque[Callable[[], None]] = deque()
 
-    def is_ill(self, now: float) -> bool:
+    def is_faulty(self, now: float) -> bool:
         """Return whether the server is faulty at this time."""
         load = self._load
-        number, moment = divmod(now + self._phase, load.ill_every)
+        number, moment = divmod(now + self._phase, load.fault_every)
         while len(self._draws) <= number:
             self._draws.append(self._random.random())
-        return moment < load.ill_seconds and self._draws[int(number)] < load.ill_chance
+        return moment < load.fault_seconds and self._draws[int(number)] < load.fault_chance
 
 
 class FleetSimulation:
@@ -216,7 +216,7 @@
 
         if self._load.is_shed(self._now, self._random):
             self._end(instance, dispatch, OutcomeKind.REFUSED)
-        elif server.is_ill(self._now) and self._random.random() < self._load.ill_share:
+        elif server.is_faulty(self._now) and self._random.random() < self._load.fault_share:
             self._end(instance, dispatch, OutcomeKind.FAILURE)
         elif server.running < self._load.slots:
             run()
--- a/packages/decisions/tests/heavy_loads.py
+++ b/packages/decisions/tests/heavy_loads.py
@@ -22,7 +22,7 @@
     work_seconds=0.35,
     work_spread=0.4,
     idempotent_share=1 / 3,
-    ill_share=0.9,
+    fault_share=0.9,
     seconds=20.0,
 )
 """Two purchases for each lookup, at two fifths of the slots, with a third of the servers faulty."""
--- a/packages/decisions/tests/test_heavy_load.py
+++ b/packages/decisions/tests/test_heavy_load.py
@@ -115,8 +115,8 @@
             LOOKUPS_AND_PURCHASES,
             requests_a_second=260.0,
             burst_factor=1.6,
-            ill_seconds=9.0,
-            ill_chance=0.3,
+            fault_seconds=9.0,
+            fault_chance=0.3,
         )
         with patch.object(placement, "LOOKUP_MEMORY_SECONDS", 0.0):
             tried = play(load)
--- a/packages/decisions/tests/test_suspicion.py
+++ b/packages/decisions/tests/test_suspicion.py
@@ -286,9 +286,9 @@
             slots=6,
             requests_a_second=50.0,
             work_seconds=0.5,
-            ill_every=12.0,
-            ill_seconds=3.6,
-            ill_share=0.9,
+            fault_every=12.0,
+            fault_seconds=3.6,
+            fault_share=0.9,
             burst_factor=1.7,
         )
         profile = self.profile.model_copy(update={"suspect_ms": 4_000, "health_floor_percent": 44})
--- a/packages/decisions/tests/test_well_servers.py
+++ b/packages/decisions/tests/test_well_servers.py
@@ -23,9 +23,9 @@
     servers=21,
     requests_a_second=120.0,
     work_seconds=0.24,
-    ill_every=9.0,
-    ill_seconds=9.0,
-    ill_chance=0.3,
+    fault_every=9.0,
+    fault_seconds=9.0,
+    fault_chance=0.3,
     seconds=30.0,
 )
 """Only payments, which can't be retried, on 21 servers of which about six are faulty at a time."""
@@ -61,7 +61,7 @@
         """Return whether a server was healthy in a window and the one before."""
         begin = (window - 1) * WINDOW_SECONDS
         moments = [begin + 0.25 * step for step in range(16)]
-        return not any(self._servers[name].is_ill(moment) for moment in moments)
+        return not any(self._servers[name].is_faulty(moment) for moment in moments)
 
 
 class WellServersTest(unittest.TestCase):
