--- a/packages/decisions/tests/asking_servers.py
+++ b/packages/decisions/tests/asking_servers.py
@@ -68,7 +68,7 @@
     """The events that servers, instances and callers saw."""
 
     arrivals: list[Arrival] = field(default_factory=list)
-    told: dict[ServerId, dict[int, float]] = field(default_factory=dict)
+    informed_at: dict[ServerId, dict[int, float]] = field(default_factory=dict)
     """When each instance first received an answer by which the server asks for something."""
     rests: list[Rest] = field(default_factory=list)
     disturbed: set[int] = field(default_factory=set)
@@ -82,12 +82,12 @@
 
     def list_informed_arrivals(self, server_id: ServerId, told_seconds: float) -> list[Arrival]:
         """List the requests from instances that had the server's answer `told_seconds` before."""
-        told = self.told.get(server_id, {})
+        informed_at = self.informed_at.get(server_id, {})
         never = float("inf")
         return [
             arrival
             for arrival in self.list_arrivals(server_id)
-            if arrival.at >= told.get(arrival.instance, never) + told_seconds
+            if arrival.at >= informed_at.get(arrival.instance, never) + told_seconds
             and arrival.instance not in self.disturbed
         ]
 
@@ -194,8 +194,8 @@
             self._after(again, lambda: self._answer(index, dispatch, kind, advice))
             return
         if advice != SILENT:
-            told = self.seen.told.setdefault(dispatch.server.server_id, {})
-            told.setdefault(index, self._now)
+            informed_at = self.seen.informed_at.setdefault(dispatch.server.server_id, {})
+            informed_at.setdefault(index, self._now)
         if advice.rest_seconds:
             rest = Rest(dispatch.server.server_id, index, self._now, advice.rest_seconds)
             self.seen.rests.append(rest)
