--- a/packages/decisions/tests/test_asking_series.py
+++ b/packages/decisions/tests/test_asking_series.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class AskingPeriod:
     """What a server asks for between two times."""
 
     server_id: ServerId
@@ -39,9 +39,9 @@
         return server_id == self.server_id and self.begin <= now < self.end
 
 
-def draw_wishes(random: Random, servers: int) -> list[Wish]:
+def draw_periods(random: Random, servers: int) -> list[AskingPeriod]:
     """Draw a leaving for server 0 and, for each other server, a period with a limit or rests."""
-    wishes = []
+    periods = []
     for index in range(servers):
         begin = random.uniform(2.0, 20.0)
         end = begin + random.uniform(1.0, 15.0)
@@ -53,8 +53,8 @@
         )
         if index == 0:
             end, advice = RUN_SECONDS, ServerAdvice(is_leaving=True)
-        wishes.append(Wish(ServerId(f"s{index}"), begin, end, advice))
-    return wishes
+        periods.append(AskingPeriod(ServerId(f"s{index}"), begin, end, advice))
+    return periods
 
 
 def draw_scene(random: Random) -> Scene:
@@ -71,20 +71,20 @@
 
 
 class AskingSeriesTest(unittest.TestCase):
-    def check_limit(self, seen: Seen, wish: Wish) -> None:
-        rate = wish.advice.rate_limit or 0.0
+    def check_limit(self, seen: Seen, period: AskingPeriod) -> None:
+        rate = period.advice.rate_limit or 0.0
         counted = [
-            arrival.at for arrival in seen.list_informed_arrivals(wish.server_id, TOLD_SECONDS)
+            arrival.at for arrival in seen.list_informed_arrivals(period.server_id, TOLD_SECONDS)
         ]
         for end in counted:
-            if wish.begin + WORK_SECONDS + STABLE_SECONDS <= end < wish.end:
+            if period.begin + WORK_SECONDS + STABLE_SECONDS <= end < period.end:
                 count = sum(end - WINDOW_SECONDS < at <= end for at in counted)
-                self.assertLessEqual(count, 1.5 * rate * WINDOW_SECONDS + 5, wish)
+                self.assertLessEqual(count, 1.5 * rate * WINDOW_SECONDS + 5, period)
 
-    def check_rests(self, seen: Seen, wish: Wish) -> None:
-        arrivals = seen.list_arrivals(wish.server_id)
+    def check_rests(self, seen: Seen, period: AskingPeriod) -> None:
+        arrivals = seen.list_arrivals(period.server_id)
         for rest in seen.rests:
-            if rest.server_id != wish.server_id or rest.instance in seen.disturbed:
+            if rest.server_id != period.server_id or rest.instance in seen.disturbed:
                 continue
             begin = rest.at - WAY_SECONDS + GRACE_SECONDS
             count = sum(
@@ -93,9 +93,9 @@
             )
             self.assertLessEqual(count, SENT_IN_REST, rest)
 
-    def check_leaving(self, seen: Seen, wish: Wish) -> None:
-        late = seen.list_informed_arrivals(wish.server_id, DRAIN_SECONDS)
-        self.assertEqual(late, [], wish)
+    def check_leaving(self, seen: Seen, period: AskingPeriod) -> None:
+        late = seen.list_informed_arrivals(period.server_id, DRAIN_SECONDS)
+        self.assertEqual(late, [], period)
 
     # Guards against limits, rests or leaving being ignored while instances restart or miss notices.
     def test_what_servers_ask_for_is_kept_in_seeded_series(self) -> None:
@@ -106,20 +106,22 @@
     def run_seed(self, seed: int) -> None:
         random = Random(seed)
         scene = draw_scene(random)
-        wishes = draw_wishes(random, scene.servers)
+        periods = draw_periods(random, scene.servers)
 
         def advise(server_id: ServerId, now: float) -> ServerAdvice:
-            return next((wish.advice for wish in wishes if wish.holds(server_id, now)), SILENT)
+            return next(
+                (period.advice for period in periods if period.holds(server_id, now)), SILENT
+            )
 
         seen = AskingServers(scene, PROFILE, advise, seed).run()
         self.assertGreater(seen.served, 0)
-        for wish in wishes:
-            if wish.advice.rate_limit is not None:
-                self.check_limit(seen, wish)
-            elif wish.advice.rest_seconds:
-                self.check_rests(seen, wish)
+        for period in periods:
+            if period.advice.rate_limit is not None:
+                self.check_limit(seen, period)
+            elif period.advice.rest_seconds:
+                self.check_rests(seen, period)
             else:
-                self.check_leaving(seen, wish)
+                self.check_leaving(seen, period)
 
 
 if __name__ == "__main__":
