--- a/packages/agreement/src/persimmonusher_agreement/directory.py
+++ b/packages/agreement/src/persimmonusher_agreement/directory.py
@@ -94,7 +94,7 @@
         entries) while callers' requests pass, so most of a service's servers count as lost within
         seconds. Harm: the remaining few are overloaded, or every request is refused. Limit: while
         more servers are lost than remain, the lost ones are listed too, and detection by real
-        requests finds out which answer. After `lost_listing_seconds` seconds a lost server isn't listed any
+        requests finds out which answer. After `lost_listing_seconds` a lost server isn't listed any
         more, unless the service has no live one.
         """
         live = self._live.get(service, NO_SERVERS)
--- a/packages/agreement/src/persimmonusher_agreement/membership_limits.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership_limits.py
@@ -34,8 +34,8 @@
     confirm_seconds: float = 10.0
     """For unconfirmed servers to be confirmed once a majority is seen again: ten announcements."""
     drop_after_pause_seconds: float = 1.0
-    """Time after a pause of a third of `stopped_retention_seconds` in which received datagrams are dropped,
-    since those that waited in the sockets are as old as the pause."""
+    """Time after a pause of a third of `stopped_retention_seconds` in which received datagrams are
+    dropped, since those that waited in the sockets are as old as the pause."""
     lost_listing_seconds: float = 3600.0
     """For this time, lost servers count as a sign of a common cause: `Directory.list_servers`."""
     reconnect_interval: float = 2.0
--- a/packages/agreement/tests/test_freshness.py
+++ b/packages/agreement/tests/test_freshness.py
@@ -12,7 +12,7 @@
 CHANGE_SECONDS = 0.3
 FAULT_FREE_SECONDS = 3.0
 ELECTION_SECONDS = TIMING.election_timeout_seconds
-HEARTBEAT_SECONDS = TIMING.heartbeat
+HEARTBEAT_SECONDS = TIMING.heartbeat_seconds
 SEEDS = (*range(30), 1108, 1272)
 """With the last two, a delayed message makes a restarted keeper repeat a former answer."""
 
--- a/packages/decisions/src/persimmonusher_decisions/assessor.py
+++ b/packages/decisions/src/persimmonusher_decisions/assessor.py
@@ -12,7 +12,7 @@
 )
 from persimmonusher_decisions.floor import Candidate, apply_floor
 from persimmonusher_decisions.peers import COMMON_CAUSE_SHARE, ServerView, View
-from persimmonusher_decisions.readmission import EjectionRecord, EjectionBackoff
+from persimmonusher_decisions.readmission import EjectionBackoff, EjectionRecord
 from persimmonusher_decisions.server import BackendServer, ServerState
 from persimmonusher_decisions.strikes import StrikeCounter
 from persimmonusher_model.identifiers import FailureDomain, InstanceId, ServerId, ServiceName
--- a/packages/decisions/tests/test_locality.py
+++ b/packages/decisions/tests/test_locality.py
@@ -39,7 +39,8 @@
 
         A service answers with 5 kB, and its near servers run at three quarters of their slots. With
         the same preference for all services, a fifth of the answers or more crossed to another
-        failure domain, at several times the price of all control messages.
+        failure domain, at several times the price of all control messages, although the near
+        servers had free slots as well.
         """
         self.assertLess(count_far(5_000, 6), 0.02)
         self.assertGreater(count_far(400, 6), 0.2)
