--- a/packages/ctl/src/persimmonusher_ctl/changes.py
+++ b/packages/ctl/src/persimmonusher_ctl/changes.py
@@ -1,4 +1,4 @@
-"""Proposing one change: its id, the revision it is based on, the verdict, and the wait."""
+"""Proposes one change of the configuration and waits until it is in force."""
 
 import time
 import uuid
@@ -10,33 +10,33 @@
 from persimmonusher_ctl.output import Output, fail
 from persimmonusher_protocol import operator_pb2 as pb
 
-POLL_SECONDS: Final = 0.2
+POLL_INTERVAL_SECONDS: Final = 0.2
 
 
 @dataclass(frozen=True)
 class ChangeOptions:
-    """The options that every changing command has."""
+    """The options that all commands which change an object have in common."""
 
     change_id: str | None = None
     based_on: int | None = None
     wait_seconds: float = 0.0
-    """Time to wait until the change is in force everywhere; 0 doesn't wait."""
+    """How long to wait until the change is in force on every instance; 0 doesn't wait."""
 
 
 def propose(
     client: OperatorClient, output: Output, change: pb.Change, options: ChangeOptions
 ) -> None:
-    """Propose the change, print the verdict, and end with its exit code.
+    """Propose the change and print the verdict; exit the process unless it succeeded.
 
-    The change's own `based_on` is the revision that was just read; the option goes before it.
+    The change's own `based_on` is the revision that was just read; `options.based_on` overrides it.
     """
     change.change_id = options.change_id or uuid.uuid4().hex
     if options.based_on is not None:
         change.based_on = options.based_on
-    output.note(f"change id {change.change_id}, based on revision {change.based_on}")
+    output.print_note(f"change id {change.change_id}, based on revision {change.based_on}")
     reply = client.propose(change)
     if reply.verdict != pb.ACCEPTED:
-        _fail_with(reply, change, output)
+        _fail_for_verdict(reply, change, output)
     in_force = not options.wait_seconds or wait_in_force(
         client, reply.revision, options.wait_seconds, output
     )
@@ -49,22 +49,22 @@
 def wait_in_force(
     client: OperatorClient, revision: int, wait_seconds: float, output: Output
 ) -> bool:
-    """Wait until every live instance has applied the revision; False when time is up."""
+    """Wait until every live instance has applied the revision; return False on timeout."""
     started = time.monotonic()
     while True:
         instances = client.list_instances().instances
         behind = [item.instance_id for item in instances if item.revision < revision]
-        passed = time.monotonic() - started
+        elapsed = time.monotonic() - started
         if not behind:
-            output.note(f"in force on all {len(instances)} instances after {passed:.2f} s")
+            output.print_note(f"in force on all {len(instances)} instances after {elapsed:.2f} s")
             return True
-        if passed > wait_seconds:
-            output.note(f"behind after {passed:.1f} s: {', '.join(sorted(behind))}")
+        if elapsed > wait_seconds:
+            output.print_note(f"behind after {elapsed:.1f} s: {', '.join(sorted(behind))}")
             return False
-        time.sleep(POLL_SECONDS)
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
-def _fail_with(reply: pb.ProposeReply, change: pb.Change, output: Output) -> None:
+def _fail_for_verdict(reply: pb.ProposeReply, change: pb.Change, output: Output) -> None:
     if output.as_json:
         output.show(reply, [], [])
     if reply.verdict == pb.CONFLICT:
@@ -81,7 +81,7 @@
 
 
 def describe_conflict(reply: pb.ProposeReply) -> str:
-    """Say which change won, so that the operator can decide without another command."""
+    """Describe the change that won, so that the operator needs no other command to decide."""
     winner = reply.winner
     now = f"is now {winner.body}" if winner.HasField("body") else "is retired"
     return (
--- a/packages/ctl/src/persimmonusher_ctl/connection.py
+++ b/packages/ctl/src/persimmonusher_ctl/connection.py
@@ -1,4 +1,4 @@
-"""Where the operators' listeners are, and the token: from a file, the environment, or options."""
+"""Addresses of the operators' listeners and the token, from options, environment or a file."""
 
 import os
 from dataclasses import dataclass
@@ -24,20 +24,23 @@
     model_config = ConfigDict(frozen=True, extra="forbid")
 
     addresses: tuple[Address, ...] = Field(min_length=1)
-    """Operators' listeners of some instances; each is tried in turn."""
+    """Operators' listeners of one or more instances, tried in turn."""
     token: str = Field(min_length=1)
 
 
 @dataclass(frozen=True)
 class ConnectionOptions:
-    """What the command line gave, each None where it gave nothing."""
+    """The connection options of the command line; None if an option was not given."""
 
     settings: Path | None = None
     addresses: str | None = None
 
 
 def read_connection(options: ConnectionOptions) -> ConnectionSettings:
-    """Combine options over environment over file; raise UsherError with all findings."""
+    """Return the settings; raise UsherError with all findings.
+
+    Command line options override the environment, which overrides the settings file.
+    """
     path = options.settings or os.environ.get(SETTINGS_VARIABLE)
     document = _read_file(Path(path)) if path else {}
     addresses = options.addresses or os.environ.get(ADDRESSES_VARIABLE)
--- a/packages/ctl/src/persimmonusher_ctl/context.py
+++ b/packages/ctl/src/persimmonusher_ctl/context.py
@@ -1,4 +1,4 @@
-"""What every command shares: the client and the output, made from the common options."""
+"""The client and output that all commands share, made from the common options."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Context:
-    """One invocation's connection and output form."""
+    """The client and output of one invocation."""
 
     client: OperatorClient
     output: Output
@@ -49,19 +49,19 @@
 
 
 def get_context(context: typer.Context) -> Context:
-    """Return what the top level prepared, made when first needed, so that help needs no token."""
+    """Return the command's context; made only when a command runs, so that help needs no token."""
     prepared: CommonOptions = context.obj
     return make_context(prepared.connection, prepared.as_json)
 
 
 @dataclass(frozen=True)
 class CommonOptions:
-    """The options before the command's name."""
+    """The options that precede the command's name."""
 
     connection: ConnectionOptions
     as_json: bool
 
 
 def make_change_options(change_id: str | None, based_on: int | None, wait: float) -> ChangeOptions:
-    """Bundle the options that every changing command has."""
+    """Bundle the options that all commands which change an object have in common."""
     return ChangeOptions(change_id, based_on, wait)
--- a/packages/ctl/src/persimmonusher_ctl/log_lines.py
+++ b/packages/ctl/src/persimmonusher_ctl/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of entries and keepers, as they were collected into files."""
+"""Reads the log lines of entries and keepers from collected log files."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line: when, where, what, and the rest of its fields."""
+    """One log line; `fields` holds all of its fields, those of the attributes included."""
 
     at: datetime
     instance: str
@@ -22,34 +22,34 @@
     fields: dict[str, Any]
 
     def text(self, name: str) -> str:
-        """Return a field as text, empty where the line hasn't got it."""
+        """Return a field as text, empty if it is missing or null."""
         value = self.fields.get(name)
         return "" if value is None else str(value)
 
 
 def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Yield the lines of files in their order; raise UsherError that names a file without any.
+    """Yield the log lines of the files in order; raise UsherError for a file that has none.
 
-    A collector may put its own words before each line: what precedes the first brace is left out.
-    Other lines, such as those of other programs, are passed over.
+    A collector may prefix each line: what precedes the first brace is ignored. Lines in another
+    format, such as those of other programs, are skipped.
     """
     for path in paths:
-        found = False
+        has_lines = False
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
                 for text in file:
                     line = parse_line(text)
                     if line is not None:
-                        found = True
+                        has_lines = True
                         yield line
         except OSError as error:
             raise UsherError(ErrorCode.NOT_FOUND, f"{path}: {error.strerror}") from error
-        if not found:
+        if not has_lines:
             raise UsherError(ErrorCode.BAD_VALUE, f"{path}: holds no log lines of an instance")
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the line, None for one that no instance wrote."""
+    """Parse a log line; return None if it is not in the format of an instance's log."""
     begin = text.find("{")
     if begin < 0:
         return None
--- a/packages/ctl/src/persimmonusher_ctl/main.py
+++ b/packages/ctl/src/persimmonusher_ctl/main.py
@@ -28,7 +28,7 @@
     addresses: Addresses = None,
     as_json: AsJson = False,
 ) -> None:
-    """Take the options that stand before the command."""
+    """Store the options that precede the command's name."""
     context.obj = CommonOptions(ConnectionOptions(settings, addresses), as_json)
 
 
--- a/packages/ctl/src/persimmonusher_ctl/objects.py
+++ b/packages/ctl/src/persimmonusher_ctl/objects.py
@@ -1,4 +1,4 @@
-"""Reading one object of the configuration and making changes of it."""
+"""Reads objects of the configuration and builds changes to them."""
 
 import json
 from pathlib import Path
@@ -13,13 +13,13 @@
 
 
 def find_object(client: OperatorClient, kind: pb.ObjectKind, name: str) -> pb.ObjectRecord | None:
-    """Return the live object, or None."""
+    """Return the live object, or None if there is none."""
     found = client.read_objects(kind, name).objects
     return found[0] if found else None
 
 
 def require_object(client: OperatorClient, kind: pb.ObjectKind, name: str) -> pb.ObjectRecord:
-    """Return the live object; raise UsherError when there is none."""
+    """Return the live object; raise UsherError if there is none."""
     found = find_object(client, kind, name)
     if found is None:
         word = pb.ObjectKind.Name(kind).lower()
@@ -28,7 +28,7 @@
 
 
 def read_body(found: pb.ObjectRecord) -> dict[str, Any]:
-    """Return the document of a live object."""
+    """Return the parsed JSON body of a live object."""
     document: dict[str, Any] = json.loads(found.body)
     return document
 
@@ -36,11 +36,11 @@
 def find_base(
     client: OperatorClient, kind: pb.ObjectKind, name: str, based_on: int | None
 ) -> pb.ObjectRecord:
-    """Return the record that a change starts from: the live one, or an earlier one by revision.
+    """Return the record to build a change from: revision `based_on` if given, else the live one.
 
-    The failure: an accepted change whose answer was lost is sent again by hand, with its id and
-    `--based-on`. Made from the live object it would be another change under the same id, which is
-    refused. An earlier record that isn't kept any more leaves the live one, and a conflict.
+    An operator resends an accepted change whose answer was lost, with its id and `--based-on`.
+    Built from the live object, it would be another change under the same id, which is refused.
+    If the earlier record has been discarded, the live one is returned and a conflict results.
     """
     if based_on:
         for record in client.read_history(kind, name).objects:
@@ -52,12 +52,15 @@
 def find_base_revision(
     client: OperatorClient, kind: pb.ObjectKind, name: str, based_on: int | None
 ) -> int:
-    """Return the revision to retire: the one given, so that a resend works when it is gone."""
+    """Return the revision that a retirement is based on: `based_on`, else the live object's.
+
+    With `based_on` the object isn't looked up, so that a resend works after it was retired.
+    """
     return require_object(client, kind, name).revision if based_on is None else based_on
 
 
 def make_change(kind: pb.ObjectKind, name: str, based_on: int, document: Any) -> pb.Change:
-    """Return the change that makes the object's body this document; None retires it."""
+    """Return the change that sets the object's body to the document; None retires the object."""
     change = pb.Change(kind=kind, name=name, based_on=based_on)
     if document is not None:
         change.body = json.dumps(document)
@@ -65,7 +68,10 @@
 
 
 def read_document(path: Path | None, assignments: list[str]) -> dict[str, Any]:
-    """Combine a JSON-with-comments file and `field=value` assignments; collect all findings."""
+    """Merge `field=value` assignments into the document of a JSON-with-comments file.
+
+    Raise UsherError with all findings if an assignment is malformed.
+    """
     document = _read_file(path) if path else {}
     findings = []
     for text in assignments:
@@ -100,7 +106,7 @@
 
 
 def show_objects(output: Output, found: pb.ObjectList) -> None:
-    """Print objects with their revisions."""
+    """Print objects with their revision, operator and body."""
     rows = [
         [item.name, str(item.revision), item.operator_name, _summarize(item)]
         for item in found.objects
@@ -109,7 +115,7 @@
 
 
 def show_history(output: Output, found: pb.ObjectList) -> None:
-    """Print an object's records with the change ids that made them."""
+    """Print the records of an object with the id of the change behind each."""
     rows = [
         [str(item.revision), item.operator_name, item.change_id, _summarize(item)]
         for item in found.objects
--- a/packages/ctl/src/persimmonusher_ctl/output.py
+++ b/packages/ctl/src/persimmonusher_ctl/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for programs, and the end of a command with its exit code."""
+"""Prints results as tables or JSON, and exits with the documented exit codes."""
 
 import json
 import sys
@@ -12,7 +12,7 @@
 from persimmonusher_ctl.exits import Exit
 from persimmonusher_model.errors import ErrorCode, UsherError
 
-EXITS: Final = {
+EXITS_BY_ERROR_CODE: Final = {
     ErrorCode.UNAUTHENTICATED: Exit.UNAUTHENTICATED,
     ErrorCode.NOT_FOUND: Exit.NOT_FOUND,
     ErrorCode.UNAVAILABLE: Exit.UNREACHABLE,
@@ -23,32 +23,32 @@
 
 
 class Output:
-    """Prints one command's result in the form that the operator asked for."""
+    """Prints the result of a command as JSON if `as_json`, else as a table."""
 
     def __init__(self, as_json: bool) -> None:
         self.as_json = as_json
 
     def show(self, message: Any, header: Sequence[str], rows: Sequence[Sequence[str]]) -> None:
-        """Print a message as JSON, or as the table that stands for it."""
+        """Print a protobuf message as JSON, or the rows as a table."""
         self.show_document(to_document(message) if self.as_json else None, header, rows)
 
     def show_document(
         self, document: Any, header: Sequence[str], rows: Sequence[Sequence[str]]
     ) -> None:
-        """Print a document as JSON, or as the table that stands for it."""
+        """Print a document as JSON, or the rows as a table."""
         if self.as_json:
             typer.echo(json.dumps(document, indent=2))
             return
         for line in format_table(header, rows):
             typer.echo(line)
 
-    def note(self, text: str) -> None:
-        """Tell a person something beside the result; programs read only standard output."""
+    def print_note(self, text: str) -> None:
+        """Print a remark on standard error, since programs parse standard output."""
         typer.echo(text, err=True)
 
 
 def to_document(message: Any) -> Any:
-    """Return a message's JSON document with all fields, under their .proto names."""
+    """Return a message as a JSON document with all fields, named as in the .proto file."""
     document = MessageToDict(
         message, preserving_proto_field_name=True, always_print_fields_with_no_presence=True
     )
@@ -56,17 +56,19 @@
 
 
 def _restore_numbers(value: Any, key: str = "") -> Any:
-    """Turn 64-bit numbers, which protobuf's JSON writes as strings, back into numbers."""
+    """Convert 64-bit numbers, which protobuf's JSON writes as strings, back to numbers."""
     if isinstance(value, dict):
         return {name: _restore_numbers(item, name) for name, item in value.items()}
     if isinstance(value, list):
         return [_restore_numbers(item, key) for item in value]
-    if key in _NUMBERS and isinstance(value, str):
+    if key in _INTEGER_FIELDS and isinstance(value, str):
         return int(value)
     return value
 
 
-_NUMBERS: Final = frozenset({"revision", "based_on", "term", "last_index", "committed_index"})
+_INTEGER_FIELDS: Final = frozenset(
+    {"revision", "based_on", "term", "last_index", "committed_index"}
+)
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> Iterator[str]:
@@ -83,15 +85,15 @@
 
 
 @contextmanager
-def ending_with_code() -> Iterator[None]:
-    """End the process with the documented exit code when a coded error comes out."""
+def exit_on_error() -> Iterator[None]:
+    """Print an UsherError and exit the process with the exit code for it."""
     try:
         yield
     except UsherError as error:
-        fail(str(error), EXITS.get(error.code, Exit.REFUSED))
+        fail(str(error), EXITS_BY_ERROR_CODE.get(error.code, Exit.REFUSED))
 
 
 def fail(message: str, code: Exit) -> NoReturn:
-    """Print the reason on standard error and end the process."""
+    """Print the message on standard error and exit the process."""
     typer.echo(message, err=True)
     sys.exit(int(code))
--- a/packages/ctl/src/persimmonusher_ctl/profiles.py
+++ b/packages/ctl/src/persimmonusher_ctl/profiles.py
@@ -23,7 +23,7 @@
     show_history,
     show_objects,
 )
-from persimmonusher_ctl.output import ending_with_code
+from persimmonusher_ctl.output import exit_on_error
 from persimmonusher_model.profile import parse_profile
 from persimmonusher_protocol import operator_pb2 as pb
 
@@ -48,7 +48,7 @@
     wait: Wait = 0.0,
 ) -> None:
     """Create a profile; one that exists is a conflict."""
-    with ending_with_code():
+    with exit_on_error():
         document = read_document(file, assignments)
         if preset is not None:
             document["preset"] = preset
@@ -69,7 +69,7 @@
     wait: Wait = 0.0,
 ) -> None:
     """Change fields of a profile; with --file, replace it as a whole."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = find_base(common.client, pb.PROFILE, name, based_on)
         given = read_document(file, assignments)
@@ -89,7 +89,7 @@
     wait: Wait = 0.0,
 ) -> None:
     """Retire a profile that no service uses."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         revision = find_base_revision(common.client, pb.PROFILE, name, based_on)
         proposal = make_change(pb.PROFILE, name, revision, None)
@@ -100,7 +100,7 @@
 @app.command("list")
 def list_profiles(context: typer.Context) -> None:
     """List the profiles in force at the instance that answers."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         show_objects(common.output, common.client.read_objects(pb.PROFILE))
 
@@ -108,7 +108,7 @@
 @app.command()
 def show(context: typer.Context, name: str) -> None:
     """Show a profile with every field, those left at their defaults too."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = require_object(common.client, pb.PROFILE, name)
         profile = parse_profile(read_body(found))
@@ -120,6 +120,6 @@
 @app.command()
 def history(context: typer.Context, name: str) -> None:
     """Show the accepted changes of a profile that are kept, oldest first."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         show_history(common.output, common.client.read_history(pb.PROFILE, name))
--- a/packages/ctl/src/persimmonusher_ctl/reports.py
+++ b/packages/ctl/src/persimmonusher_ctl/reports.py
@@ -7,7 +7,7 @@
 
 from persimmonusher_ctl.context import get_context
 from persimmonusher_ctl.exits import Exit
-from persimmonusher_ctl.output import ending_with_code, fail
+from persimmonusher_ctl.output import exit_on_error, fail
 from persimmonusher_protocol import operator_pb2 as pb
 
 
@@ -19,14 +19,14 @@
     ] = False,
 ) -> None:
     """List backend servers: state, how many instances give them work, and why not."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = common.client.list_servers(service)
         rows = [row for item in found.servers for row in _list_rows(item, each_instance)]
         header = ["SERVICE", "SERVER", "ADDRESS", "DOMAIN", "STATE", "TAKING", "REASON"]
         common.output.show(found, header, rows)
         if found.silent_instances:
-            common.output.note(f"no answer from {', '.join(found.silent_instances)}")
+            common.output.print_note(f"no answer from {', '.join(found.silent_instances)}")
 
 
 def _list_rows(item: pb.ServerEntry, each_instance: bool) -> Iterable[list[str]]:
@@ -43,7 +43,7 @@
 
 def list_instances(context: typer.Context) -> None:
     """List live instances and the revision each has applied."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = common.client.list_instances()
         rows = [
@@ -67,7 +67,7 @@
     """List the keepers of the configuration log."""
     if context.invoked_subcommand is not None:
         return
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = common.client.list_keepers()
         rows = [
@@ -92,15 +92,15 @@
     keeper: Annotated[str, typer.Argument(help="INSTANCE#DISK, as `keepers` shows it.")],
 ) -> None:
     """Remove a keeper that will never return, so that it no longer counts for a majority."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         common.client.dismiss_keeper(keeper)
-        common.output.note(f"{keeper} is dismissed")
+        common.output.print_note(f"{keeper} is dismissed")
 
 
 def explain(context: typer.Context, request_id: str) -> None:
     """Show what was decided for a request, where, and why."""
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = common.client.explain(request_id)
         rows = [
@@ -110,6 +110,6 @@
         header = ["AT", "INSTANCE", "DECISION", "SERVER", "REASON"]
         common.output.show(found, header, rows)
         if found.silent_instances:
-            common.output.note(f"no answer from {', '.join(found.silent_instances)}")
+            common.output.print_note(f"no answer from {', '.join(found.silent_instances)}")
         if not found.events:
             fail(f"no instance remembers request {request_id!r}", Exit.NOT_FOUND)
--- a/packages/ctl/src/persimmonusher_ctl/request_story.py
+++ b/packages/ctl/src/persimmonusher_ctl/request_story.py
@@ -1,4 +1,4 @@
-"""What collected logs say of one request: its steps, and what was known around them."""
+"""Builds the timeline of one request from collected logs: its steps and related log lines."""
 
 import re
 from collections.abc import Callable, Iterable
@@ -8,14 +8,16 @@
 
 from persimmonusher_ctl.log_lines import REQUEST_EVENT, LogLine
 
-BEFORE: Final = timedelta(seconds=10)
-"""How far back what was known of a server is looked for: twice the usual time of passing one by."""
-AFTER: Final = timedelta(seconds=3)
-"""How long after the request something may show what it ran into, such as a server's end."""
+LOOKBACK: Final = timedelta(seconds=10)
+"""How long before the request log lines are included: twice the usual time for which a failing
+server is avoided."""
+LOOKAHEAD: Final = timedelta(seconds=3)
+"""How long after the request log lines are included: its cause may be logged later, such as the
+stop of its server."""
 _STEP: Final = re.compile(
     r"(?P<seconds>[\d.]+) (?P<what>\w+)(?: (?P<server>[^:\s]+))?: (?P<why>.*)"
 )
-_DETAILS: Final = (
+_DETAIL_FIELDS: Final = (
     "seen",
     "outcome",
     "seconds",
@@ -31,8 +33,9 @@
     "told_by",
     "told_age",
 )
-ASKED_EVENTS: Final = frozenset({"server-limit", "server-rest"})
-"""What closes servers to an instance. A request for which all were closed names none of them."""
+CLOSING_EVENTS: Final = frozenset({"server-limit", "server-rest"})
+"""Events that close a server to an instance. They are matched by service, since a request for which
+all servers were closed names none of them."""
 
 CAUSES: Final = {
     "failure": "its server answered with a failure, and it was not sent again",
@@ -49,15 +52,15 @@
     "servers-closed": "every server had asked for rest, or limited what it takes from here",
     "quarantined": "the same request had broken several servers",
 }
-"""What the last step of a request means, by its reason."""
+"""Explanation of each reason that a request's last log line may give."""
 
 
-_AFTER_ATTEMPTS: Final = frozenset({"retry-budget", "retries-exhausted"})
+_REASONS_AFTER_ATTEMPTS: Final = frozenset({"retry-budget", "retries-exhausted"})
 
 
 @dataclass(frozen=True)
-class StoryLine:
-    """One thing that happened, to the request or around it."""
+class TimelineEntry:
+    """A step of the request, or a log line related to it."""
 
     at: datetime
     instance: str
@@ -67,40 +70,42 @@
 
 
 @dataclass(frozen=True)
-class Story:
-    """A request's steps and surroundings in the order of time, and its cause in words."""
+class RequestTimeline:
+    """The steps of a request and the related log lines by time, and the cause of its outcome."""
 
-    lines: tuple[StoryLine, ...]
+    lines: tuple[TimelineEntry, ...]
     cause: str
 
 
-def tell_story(request_id: str, read: Callable[[], Iterable[LogLine]]) -> Story | None:
-    """Return the story of a request, None where no line names it.
+def build_timeline(
+    request_id: str, read: Callable[[], Iterable[LogLine]]
+) -> RequestTimeline | None:
+    """Return the timeline of a request, or None if no instance logged the request.
 
-    `read` is called twice: for the request, and for what happened around it.
+    `read` is called twice: for the lines of the request, and for those related to it.
     """
-    own = [line for line in read() if line.text("request_id") == request_id]
-    requests = [line for line in own if line.event == REQUEST_EVENT]
+    own_lines = [line for line in read() if line.text("request_id") == request_id]
+    requests = [line for line in own_lines if line.event == REQUEST_EVENT]
     if not requests:
         return None
     steps = [step for line in requests for step in _list_steps(line)]
     servers = {step.server for step in steps if step.server}
     begin = min(step.at for step in steps) if steps else requests[0].at
-    surroundings = _Surroundings(
+    related_lines = _RelatedLines(
         request_id,
         servers,
         {line.instance for line in requests},
         {line.text("service") for line in requests},
-        begin - BEFORE,
-        max(line.at for line in requests) + AFTER,
+        begin - LOOKBACK,
+        max(line.at for line in requests) + LOOKAHEAD,
     )
-    around = [found for line in read() if (found := surroundings.describe(line)) is not None]
-    ordered = sorted([*steps, *around], key=lambda item: item.at)
-    return Story((*ordered, *surroundings.count_failures()), _find_cause(requests[-1]))
+    related = [found for line in read() if (found := related_lines.describe(line)) is not None]
+    ordered = sorted([*steps, *related], key=lambda item: item.at)
+    return RequestTimeline((*ordered, *related_lines.count_failures()), _find_cause(requests[-1]))
 
 
-class _Surroundings:
-    """Chooses the lines that concern a request's servers, or its instance, around its time."""
+class _RelatedLines:
+    """Selects the lines about the request's servers or instances from around its time."""
 
     def __init__(
         self,
@@ -119,31 +124,35 @@
         self._services = services
         self._failed = dict.fromkeys(sorted(servers), 0)
 
-    def describe(self, line: LogLine) -> StoryLine | None:
-        """Return what a line adds to the story, None where it is of no concern."""
+    def describe(self, line: LogLine) -> TimelineEntry | None:
+        """Return the timeline's entry for a line, or None if the line is not related."""
         if not self._begin <= line.at <= self._end:
             return None
         if line.event == REQUEST_EVENT:
             self._count(line)
             return None
         server = line.text("server")
-        own_view = line.instance in self._instances
-        of_server = server in self._servers and (own_view or not line.text("seen"))
-        if own_view and line.event in ASKED_EVENTS and line.text("service") in self._services:
-            of_server = True
-        if not of_server and (server or not own_view):
+        is_own_instance = line.instance in self._instances
+        is_relevant = server in self._servers and (is_own_instance or not line.text("seen"))
+        if (
+            is_own_instance
+            and line.event in CLOSING_EVENTS
+            and line.text("service") in self._services
+        ):
+            is_relevant = True
+        if not is_relevant and (server or not is_own_instance):
             return None
-        details = (f"{name} {line.text(name)}" for name in _DETAILS if line.text(name))
+        details = (f"{name} {line.text(name)}" for name in _DETAIL_FIELDS if line.text(name))
         shown_by = line.text("request_id")
         detail = ", ".join([*details, *([f"shown by {shown_by}"] if shown_by else [])])
-        return StoryLine(line.at, line.instance, line.event, server, detail)
+        return TimelineEntry(line.at, line.instance, line.event, server, detail)
 
-    def count_failures(self) -> Iterable[StoryLine]:
-        """Return a line for each server on which other requests failed around the same time."""
-        for server, number in self._failed.items():
-            if number:
-                detail = f"{number} other logged requests failed on it from {BEFORE} before"
-                yield StoryLine(self._end, "-", "summary", server, detail)
+    def count_failures(self) -> Iterable[TimelineEntry]:
+        """Yield a summary for each server on which other requests failed around the same time."""
+        for server, count in self._failed.items():
+            if count:
+                detail = f"{count} other logged requests failed on it from {LOOKBACK} before"
+                yield TimelineEntry(self._end, "-", "summary", server, detail)
 
     def _count(self, line: LogLine) -> None:
         if line.text("request_id") == self._request_id:
@@ -153,7 +162,7 @@
                 self._failed[step.server] += 1
 
 
-def _list_steps(line: LogLine) -> list[StoryLine]:
+def _list_steps(line: LogLine) -> list[TimelineEntry]:
     arrived = line.at - timedelta(seconds=float(line.fields.get("seconds", 0.0)))
     steps = []
     for text in line.fields.get("steps", ()):
@@ -161,13 +170,13 @@
         if found is not None:
             at = arrived + timedelta(seconds=float(found["seconds"]))
             server = found["server"] or ""
-            steps.append(StoryLine(at, line.instance, found["what"], server, found["why"]))
+            steps.append(TimelineEntry(at, line.instance, found["what"], server, found["why"]))
     return steps
 
 
 def _find_cause(line: LogLine) -> str:
     reason = line.text("reason")
-    if reason in _AFTER_ATTEMPTS and line.text("result").startswith("not-run"):
+    if reason in _REASONS_AFTER_ATTEMPTS and line.text("result").startswith("not-run"):
         reason = "overload"
     ended = f"status {line.text('status')}, {line.text('result')}"
     return f"{ended}: {CAUSES.get(reason, reason)}"
--- a/packages/ctl/src/persimmonusher_ctl/services.py
+++ b/packages/ctl/src/persimmonusher_ctl/services.py
@@ -19,7 +19,7 @@
     show_history,
     show_objects,
 )
-from persimmonusher_ctl.output import ending_with_code
+from persimmonusher_ctl.output import exit_on_error
 from persimmonusher_protocol import operator_pb2 as pb
 
 RouteName = Annotated[str, typer.Argument(metavar="ROUTE", help="HOST/PREFIX or */PREFIX.")]
@@ -32,7 +32,7 @@
     document: dict[str, str],
     options: tuple[str | None, int | None, float],
 ) -> None:
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         found = find_object(common.client, kind, name)
         proposal = make_change(kind, name, found.revision if found else 0, document)
@@ -45,7 +45,7 @@
     name: str,
     options: tuple[str | None, int | None, float],
 ) -> None:
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         revision = find_base_revision(common.client, kind, name, options[1])
         proposal = make_change(kind, name, revision, None)
@@ -53,13 +53,13 @@
 
 
 def _list(context: typer.Context, kind: pb.ObjectKind) -> None:
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         show_objects(common.output, common.client.read_objects(kind))
 
 
 def _show_history(context: typer.Context, kind: pb.ObjectKind, name: str) -> None:
-    with ending_with_code():
+    with exit_on_error():
         common = get_context(context)
         show_history(common.output, common.client.read_history(kind, name))
 
--- a/packages/ctl/tests/fake_operators.py
+++ b/packages/ctl/tests/fake_operators.py
@@ -1,4 +1,4 @@
-"""An operators' service in memory, on a thread of its own, for tests of the command line."""
+"""In-memory operators' service on its own thread, for tests of the command line."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 
 class FakeOperators(OperatorsBase):
-    """Keeps objects with revisions, verdicts by change id, and a script of faults."""
+    """Keeps objects with revisions and verdicts by change id; tests set its answers and faults."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -31,7 +31,7 @@
         self.explanation = pb.Explanation()
 
     async def Propose(self, stream: Any) -> None:  # noqa: N802
-        """Decide, keep the verdict, and lose the answer when the script says so."""
+        """Decide the change and keep the verdict; fail while `lost_answers` is positive."""
         change = await self._receive(stream)
         self.proposals.append(change)
         reply = self.verdicts.setdefault(change.change_id, self._decide(change))
@@ -63,7 +63,7 @@
         return pb.ProposeReply(verdict=pb.ACCEPTED, revision=self.revision)
 
     async def ReadObjects(self, stream: Any) -> None:  # noqa: N802
-        """Send the objects of a kind."""
+        """Send the live objects of a kind, or the one with the given name."""
         request = await self._receive(stream)
         found = [
             record
@@ -80,30 +80,30 @@
         await stream.send_message(pb.ObjectList(revision=self.revision, objects=found))
 
     async def ListServers(self, stream: Any) -> None:  # noqa: N802
-        """Send the scripted servers."""
+        """Send the servers that the test has set."""
         await self._receive(stream)
         await stream.send_message(self.servers)
 
     async def ListInstances(self, stream: Any) -> None:  # noqa: N802
-        """Send the scripted instances."""
+        """Send the instances that the test has set."""
         await self._receive(stream)
         await stream.send_message(pb.InstanceList(instances=self.instances))
 
     async def ListKeepers(self, stream: Any) -> None:  # noqa: N802
-        """Send one leader."""
+        """Send a single keeper, which leads."""
         await self._receive(stream)
         keeper = pb.KeeperEntry(instance_id="i1", role="leader", term=3)
         await stream.send_message(pb.KeeperList(keepers=[keeper]))
 
     async def DismissKeeper(self, stream: Any) -> None:  # noqa: N802
-        """Refuse any but the one that is lost."""
+        """Accept the keeper `k3#lost` and refuse any other."""
         request = await self._receive(stream)
         if request.keeper != "k3#lost":
             raise GRPCError(Status.INVALID_ARGUMENT, f"{request.keeper} is no keeper")
         await stream.send_message(pb.DismissKeeperReply())
 
     async def Explain(self, stream: Any) -> None:  # noqa: N802
-        """Send the scripted explanation."""
+        """Send the explanation that the test has set."""
         await self._receive(stream)
         await stream.send_message(self.explanation)
 
@@ -114,7 +114,7 @@
 
 
 class FakeServer:
-    """Serves the fake on a free loopback port until its context is left."""
+    """Context manager that serves the fake on a free loopback port."""
 
     def __init__(self, service: FakeOperators) -> None:
         self._service = service
--- a/packages/ctl/tests/test_commands.py
+++ b/packages/ctl/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line against an operators' service in memory."""
+"""Tests of the command line against an in-memory operators' service."""
 
 import json
 import os
@@ -45,8 +45,8 @@
         self.assertEqual(self.fake.proposals[-1].based_on, 1)
 
     def test_lost_answer_is_resent_with_the_same_change_id(self) -> None:
-        # An operator's change is accepted, but the answer is lost on the way back. The command
-        # sends it again by itself; a second change would show as a second revision.
+        # Guards against a retry that makes a second change: the change is accepted, but its answer
+        # is lost, and the command retries it. A second change would show as a second revision.
         self.fake.lost_answers = 2
         result = self.run_ctl(*CREATE)
         self.assert_exit(result, Exit.DONE)
@@ -55,9 +55,9 @@
         self.assertEqual(len({change.change_id for change in self.fake.proposals}), 1)
 
     def test_resend_by_hand_is_the_same_change(self) -> None:
-        # The answer to an accepted change is lost and the operator gives up waiting. Meanwhile the
-        # profile was changed again, or is retired. The command sent again with the id and base
-        # that it printed must be the very same change, else the id is refused as used before.
+        # The answer to an accepted change is lost, and the operator repeats the command with the id
+        # and base that it printed, after the profile was changed again or retired. The repeated
+        # change must equal the first one, else it is refused because its id was used before.
         self.run_ctl(*CREATE)
         resend = ("--change-id", "x", "--based-on", "1")
         change = ("profiles", "change", "shows", "--set", "ramp_ms=5")
@@ -73,7 +73,7 @@
         self.assertEqual(first, again)
 
     def test_race_shows_the_winner(self) -> None:
-        # Two operators decide on revision 1. The first one's change is accepted as revision 2; the
+        # Two operators base their changes on revision 1. The first change becomes revision 2; the
         # second must not overwrite it unseen, so it ends in a conflict that shows the first.
         self.run_ctl(*CREATE)
         self.run_ctl("profiles", "change", "shows", "--set", "ramp_ms=1", "--change-id", "first")
--- a/packages/ctl/tests/test_request_story.py
+++ b/packages/ctl/tests/test_request_story.py
@@ -1,4 +1,4 @@
-"""Collected logs, and what they say of a request of the past."""
+"""Tests of the timeline of a past request that is built from collected logs."""
 
 import json
 import tempfile
@@ -12,7 +12,7 @@
 from persimmonusher_ctl.exits import Exit
 from persimmonusher_ctl.log_lines import LogLine, parse_line, read_lines
 from persimmonusher_ctl.main import app
-from persimmonusher_ctl.request_story import tell_story
+from persimmonusher_ctl.request_story import build_timeline
 
 BEGIN = datetime(2026, 1, 6, 2, 0, tzinfo=UTC)
 
@@ -79,22 +79,22 @@
                 steps=["0.0001 refuse: servers-closed"],
             ),
         ]
-        story = tell_story("mine", lambda: read(lines))
-        assert story is not None
-        asked = [(line.server, line.detail) for line in story.lines if line.server]
+        timeline = build_timeline("mine", lambda: read(lines))
+        assert timeline is not None
+        asked = [(line.server, line.detail) for line in timeline.lines if line.server]
         self.assertEqual([server for server, _ in asked], ["s1", "s2"])
         self.assertIn("seconds 3.0", asked[0][1])
         self.assertIn("requests_a_second 1.5", asked[1][1])
-        self.assertIn("asked for rest", story.cause)
+        self.assertIn("asked for rest", timeline.cause)
 
     def test_a_story_holds_the_steps_and_what_was_known_of_the_server(self) -> None:
-        """An operator is given the id of an entry that failed last night, and log files.
+        """The cause of a failed request is logged elsewhere.
 
-        The cause was seen by another entry seconds before, and by a keeper a second after.
+        Another entry logs it seconds before the request, and a keeper a second after it.
         """
-        story = tell_story("mine", lambda: read(LINES))
-        assert story is not None
-        seen = [(line.what, line.instance) for line in story.lines]
+        timeline = build_timeline("mine", lambda: read(LINES))
+        assert timeline is not None
+        seen = [(line.what, line.instance) for line in timeline.lines]
         self.assertEqual(
             seen,
             [
@@ -107,14 +107,14 @@
                 ("summary", "-"),
             ],
         )
-        self.assertIn("shown by other", story.lines[0].detail)
-        self.assertIn("1 other logged requests failed", story.lines[-1].detail)
-        self.assertIn("answered with a failure", story.cause)
+        self.assertIn("shown by other", timeline.lines[0].detail)
+        self.assertIn("1 other logged requests failed", timeline.lines[-1].detail)
+        self.assertIn("answered with a failure", timeline.cause)
 
     def test_a_step_has_the_time_at_which_it_was_made(self) -> None:
-        story = tell_story("third", lambda: read(LINES))
-        assert story is not None
-        (dispatch,) = [line for line in story.lines if line.what == "dispatch"]
+        timeline = build_timeline("third", lambda: read(LINES))
+        assert timeline is not None
+        (dispatch,) = [line for line in timeline.lines if line.what == "dispatch"]
         self.assertEqual(dispatch.at, BEGIN + timedelta(seconds=22.5001))
 
     def test_a_request_that_all_servers_refused_did_not_fail_there(self) -> None:
@@ -122,9 +122,9 @@
             with self.subTest(result):
                 fields = {"request_id": "r", "status": 503, "reason": "retries-exhausted"}
                 line = make_line(1.0, "entry-1", "request", result=result, **fields)
-                story = tell_story("r", lambda line=line: read([line]))
-                assert story is not None
-                self.assertIn(words, story.cause)
+                timeline = build_timeline("r", lambda line=line: read([line]))
+                assert timeline is not None
+                self.assertIn(words, timeline.cause)
 
     def test_words_around_a_line_and_other_lines_are_passed_over(self) -> None:
         whole = make_request(1.0, "r", "s1")
