--- a/packages/ctl/src/persimmonusher_ctl/context.py
+++ b/packages/ctl/src/persimmonusher_ctl/context.py
@@ -22,7 +22,7 @@
 ]
 ChangeId = Annotated[
     str | None,
-    typer.Option("--change-id", help="Names this change over resends; made when left out."),
+    typer.Option("--change-id", help="Id of this change, kept in resends; default: a new one."),
 ]
 BasedOn = Annotated[
     int | None,
--- a/packages/ctl/src/persimmonusher_ctl/logs.py
+++ b/packages/ctl/src/persimmonusher_ctl/logs.py
@@ -17,7 +17,7 @@
     request_id: str,
     files: Annotated[list[Path], typer.Argument(help="Collected logs of entries and keepers.")],
 ) -> None:
-    """Show what logs say of a request of the past: its steps, its servers, and the cause."""
+    """Show a past request from collected logs: its steps, its servers, and why it ended so."""
     common: CommonOptions = context.obj
     with exit_on_error():
         timeline = build_timeline(request_id, lambda: read_lines(files))
--- a/packages/ctl/src/persimmonusher_ctl/reports.py
+++ b/packages/ctl/src/persimmonusher_ctl/reports.py
@@ -18,7 +18,7 @@
         bool, typer.Option("--each", help="One line for each instance's view.")
     ] = False,
 ) -> None:
-    """List backend servers: state, how many instances give them work, and why not."""
+    """List backend servers: state, how many instances send them requests, and why others don't."""
     with exit_on_error():
         common = get_context(context)
         found = common.client.list_servers(service)
