--- a/packages/lab/src/persimmonusher_lab/decisions_cases.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_cases.py
@@ -6,7 +6,7 @@
 
 from persimmonusher_lab.decisions_servers import CRASH_SECONDS, FakeServer, Fault
 from persimmonusher_lab.decisions_simulation import FAULT_AT, RESEND_SECONDS, Case, Simulation
-from persimmonusher_lab.decisions_sites import SHORT_WORK
+from persimmonusher_lab.decisions_sites import SHORT_WORK_SECONDS
 
 USUAL_LOAD: Final = 0.7
 CRASH_RESENDS: Final = 10
@@ -33,13 +33,13 @@
     return inject
 
 
-def _flap(period: float) -> Callable[[Simulation], None]:
-    def turn(simulation: Simulation, server: FakeServer) -> None:
+def _flap(period_seconds: float) -> Callable[[Simulation], None]:
+    def toggle(simulation: Simulation, server: FakeServer) -> None:
         server.fault = Fault(failing=0.0 if server.fault.failing else 0.8)
-        simulation.loop.call_later(period / 2.0, turn, simulation, server)
+        simulation.loop.call_later(period_seconds / 2.0, toggle, simulation, server)
 
     def inject(simulation: Simulation) -> None:
-        turn(simulation, simulation.servers[0])
+        toggle(simulation, simulation.servers[0])
 
     return inject
 
@@ -48,7 +48,7 @@
     simulation.servers[0].fault = Fault(cut_from={simulation.domains[CUT_DOMAIN]})
 
 
-def _start_cold(simulation: Simulation) -> None:
+def _restart_cold(simulation: Simulation) -> None:
     now = simulation.loop.now
     for server in simulation.servers[: simulation.case.faulty]:
         server.server = replace(server.server, boot_id=2)
@@ -62,27 +62,27 @@
 
 
 def _send_crashing(simulation: Simulation) -> None:
-    def resend(left: int) -> None:
+    def resend(resends_left: int) -> None:
         entry = int(simulation.random.random() * simulation.site.entries)
-        call = simulation.make_call(SHORT_WORK, entry, "caller-crash")
+        call = simulation.make_call(SHORT_WORK_SECONDS, entry, "caller-crash")
         call.crashing = True
         simulation.send(call, "crash", idempotent=True)
-        if left:
-            simulation.loop.call_later(RESEND_SECONDS, resend, left - 1)
+        if resends_left:
+            simulation.loop.call_later(RESEND_SECONDS, resend, resends_left - 1)
 
-    def restart() -> None:
-        simulation.loop.call_later(0.1, restart)
+    def announce_restarts() -> None:
+        simulation.loop.call_later(0.1, announce_restarts)
         for server in simulation.servers:
-            started = server.crashes + 1
-            if server.server.boot_id != started and simulation.loop.now >= server.crashed_until:
-                server.server = replace(server.server, boot_id=started)
+            boot_id = server.crashes + 1
+            if server.server.boot_id != boot_id and simulation.loop.now >= server.crashed_until:
+                server.server = replace(server.server, boot_id=boot_id)
                 simulation.announce()
 
     resend(CRASH_RESENDS)
-    restart()
+    announce_restarts()
 
 
-def _lie(load: int) -> Callable[[Simulation], None]:
+def _report_load(load: int) -> Callable[[Simulation], None]:
     return _set_fault(Fault(reported_load=load))
 
 
@@ -106,14 +106,14 @@
     Case("flapping 2 s", _steady(USUAL_LOAD), _flap(2.0), 14.0, faulty=1),
     Case("flapping 10 s", _steady(USUAL_LOAD), _flap(10.0), 24.0, faulty=1),
     Case("one-way cut", _steady(USUAL_LOAD), _cut_domain, 9.0, faulty=1, watched=CUT_DOMAIN),
-    Case("cold third", _steady(0.6), _start_cold, 14.0, faulty=4),
+    Case("cold third", _steady(0.6), _restart_cold, 14.0, faulty=4),
     Case("overload 1.5x", _overload(1.5), None, 12.0),
     Case("overload 3x", _overload(3.0), None, 12.0),
     Case("overload 3x, greedy caller", _overload(3.0), None, 12.0, greedy=True),
     Case("common cause 30%", _steady(USUAL_LOAD), _fail_everywhere),
     Case("half fail 100%", _steady(0.4), _set_fault(Fault(failing=1.0)), 9.0, faulty=7),
     Case("crashing request", _steady(USUAL_LOAD), _send_crashing, FAULT_AT + CRASH_SECONDS + 8.0),
-    Case("one reports load 0", _steady(USUAL_LOAD), _lie(0), 9.0, faulty=1),
-    Case("one reports load 99", _steady(USUAL_LOAD), _lie(99), 9.0, faulty=1),
-    Case("all report load 0, overload 1.5x", _overload(1.5), _lie(0), 12.0, faulty=99),
+    Case("one reports load 0", _steady(USUAL_LOAD), _report_load(0), 9.0, faulty=1),
+    Case("one reports load 99", _steady(USUAL_LOAD), _report_load(99), 9.0, faulty=1),
+    Case("all report load 0, overload 1.5x", _overload(1.5), _report_load(0), 12.0, faulty=99),
 )
--- a/packages/lab/src/persimmonusher_lab/decisions_figures.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_figures.py
@@ -10,9 +10,9 @@
 from persimmonusher_lab.decisions_simulation import FAULT_AT, Simulation, Tally
 
 QUIET_SECONDS: Final = 0.5
-"""A server has stopped receiving work once none reaches it for so long."""
-CUT_SHARE: Final = 0.1
-PROMPT_SECONDS: Final = 0.005
+"""A server's work counts as fallen or stopped once that holds for this long."""
+REDUCED_WORK_SHARE: Final = 0.1
+PROMPT_REFUSAL_SECONDS: Final = 0.005
 
 
 @dataclass(frozen=True)
@@ -27,24 +27,27 @@
     """Requests that ended in a failure, a timeout or a broken connection."""
     refused_share: float
     goodput: float
-    """Requests answered well, as a share of the service's capacity."""
+    """Requests answered successfully, as a share of the service's capacity."""
     amplification: float
-    """Attempts for each request that was placed at all."""
+    """Attempts per request that was placed on a server at least once."""
     prompt_refusals: float
     """Refusals answered within 5 ms of the request's arrival, as a share of all refusals."""
     refusal_p99_ms: float
     fairness: float
-    """Jain's index over the callers' served shares: 1 is equal."""
+    """Jain's fairness index over the callers' served shares; 1 means equal shares."""
     lookups_served: float
     entries_served: float
     lowest_capacity: float
     false_ejections: float
     ill_work: float
-    """Work sent to ill servers, as a share of what they got before."""
+    """Requests that the faulty servers received, as a share of their number before the fault."""
     share_fell_ms: float | None
-    """Until an ill server got less than a tenth of its work for half a second."""
+    """Time until each faulty server received at most a tenth of its usual work for half a second.
+
+    None if one of them never did.
+    """
     detection_ms: float | None
-    """Until an ill server got no work for half a second; None where it never did."""
+    """Time until each faulty server received no work for half a second; None if one never did."""
     crashes: int
 
 
@@ -63,8 +66,8 @@
     placed = offered - refused + sum(tally.refusals[reason.value] for reason in AFTER_ATTEMPTS)
     seconds = simulation.case.seconds - FAULT_AT
     waits = tally.refusal_waits
-    ill = simulation.servers[: simulation.case.faulty]
-    received = [server.received for server in ill]
+    faulty = simulation.servers[: simulation.case.faulty]
+    received = [server.received for server in faulty]
     return RunFigures(
         p50_ms=1000 * find_quantile(tally.latencies, 0.5),
         p99_ms=1000 * find_quantile(tally.latencies, 0.99),
@@ -74,16 +77,18 @@
         refused_share=refused / ended,
         goodput=good / seconds / simulation.capacity,
         amplification=tally.attempts / max(1, placed),
-        prompt_refusals=sum(wait <= PROMPT_SECONDS for wait in waits) / max(1, len(waits)),
+        prompt_refusals=sum(wait <= PROMPT_REFUSAL_SECONDS for wait in waits) / max(1, len(waits)),
         refusal_p99_ms=1000 * find_quantile(waits, 0.99),
         fairness=_find_fairness(tally),
-        lookups_served=_find_served(tally, "lookup"),
-        entries_served=_find_served(tally, "entry"),
+        lookups_served=_find_served_share(tally, "lookup"),
+        entries_served=_find_served_share(tally, "entry"),
         lowest_capacity=tally.lowest_capacity,
         false_ejections=tally.false_ejections,
-        ill_work=_find_ill_work(received, seconds),
-        share_fell_ms=_find_worst([_find_end(item, seconds, CUT_SHARE) for item in received]),
-        detection_ms=_find_worst([_find_end(item, seconds, 0.0) for item in received]),
+        ill_work=_find_faulty_server_work(received, seconds),
+        share_fell_ms=_find_latest_drop(
+            [_find_drop_ms(item, seconds, REDUCED_WORK_SHARE) for item in received]
+        ),
+        detection_ms=_find_latest_drop([_find_drop_ms(item, seconds, 0.0) for item in received]),
         crashes=sum(server.crashes for server in simulation.servers),
     )
 
@@ -94,7 +99,7 @@
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
 
 
-def _find_served(tally: Tally, name: str) -> float:
+def _find_served_share(tally: Tally, name: str) -> float:
     return tally.served_classes[name] / max(1, tally.offered_classes[name])
 
 
@@ -103,31 +108,31 @@
     return (bisect_left(received, FAULT_AT) - bisect_left(received, start)) / 2.0
 
 
-def _find_ill_work(received: list[list[float]], seconds: float) -> float:
+def _find_faulty_server_work(received: list[list[float]], seconds: float) -> float:
     before = sum(_find_rate_before(item) for item in received) * seconds
     after = sum(len(item) - bisect_left(item, FAULT_AT) for item in received)
     return after / before if before else 0.0
 
 
-def _find_end(received: list[float], seconds: float, share: float) -> float | None:
-    most = share * QUIET_SECONDS * _find_rate_before(received)
+def _find_drop_ms(received: list[float], seconds: float, share: float) -> float | None:
+    max_count = share * QUIET_SECONDS * _find_rate_before(received)
     step = 0.01
     for index in range(int((seconds - QUIET_SECONDS) / step)):
         start = FAULT_AT + index * step
         count = bisect_left(received, start + QUIET_SECONDS) - bisect_left(received, start)
-        if count <= most:
+        if count <= max_count:
             return 1000 * index * step
     return None
 
 
-def _find_worst(ends: list[float | None]) -> float | None:
-    found = [end for end in ends if end is not None]
-    return max(found) if found and len(found) == len(ends) else None
+def _find_latest_drop(drops: list[float | None]) -> float | None:
+    found = [drop for drop in drops if drop is not None]
+    return max(found) if found and len(found) == len(drops) else None
 
 
 @dataclass(frozen=True)
 class Spread:
-    """A figure over the seeds; `missing` counts runs that have none."""
+    """The distribution of a figure over the seeds; `missing` counts the runs without a value."""
 
     p50: float
     p95: float
--- a/packages/lab/src/persimmonusher_lab/decisions_measure.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_measure.py
@@ -1,4 +1,4 @@
-"""Run the cases over seeds, in a few processes."""
+"""Run the cases over seeds, in several processes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One run."""
+    """One case to run at one site under one policy, with one seed."""
 
     site: str
     case: str
@@ -35,7 +35,7 @@
 
 
 def run_job(job: Job) -> Result:
-    """Run one case once."""
+    """Run one job and measure it."""
     case = next(case for case in CASES if case.name == job.case)
     simulation = Simulation(SITES[job.site], case, job.policy, job.seed)
     tally = simulation.run()
@@ -48,7 +48,7 @@
     policies: Iterable[str] = POLICIES,
     sites: Iterable[str] = tuple(SITES),
 ) -> list[Job]:
-    """List the runs of the named cases, all where none is named."""
+    """List the runs of the named cases, or of all cases if none is named."""
     chosen = set(cases)
     return [
         Job(site, case.name, policy, seed)
--- a/packages/lab/src/persimmonusher_lab/decisions_policies.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_policies.py
@@ -1,4 +1,4 @@
-"""What places work in a simulation: the project's decisions, and the baselines beside them."""
+"""The placement policies of a simulation: the project's own, and baselines for comparison."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
     @abstractmethod
     def replace_servers(self, servers: list[BackendServer], now: float) -> None:
-        """Take the servers."""
+        """Replace the known servers."""
 
     @abstractmethod
     def offer(self, request: Request, now: float) -> Decision:
@@ -43,22 +43,22 @@
 
     @abstractmethod
     def finish(self, dispatch: Dispatch, outcome: Outcome, now: float) -> tuple[Decision, ...]:
-        """Record the end of an attempt."""
+        """Record the end of an attempt and return decisions on queued requests."""
 
     def advance(self, now: float) -> tuple[Decision, ...]:
-        """Let time pass."""
+        """Advance to the given time and return the decisions on queued requests."""
         return ()
 
     def digest(self, now: float) -> EvidenceDigest | None:
-        """Return evidence for the assessor."""
+        """Return the evidence to send to the assessor, or None."""
         return None
 
     def apply(self, ejections: EjectionSet, asked: float) -> tuple[Dispatch, ...]:
-        """Take the assessor's verdict; return second copies of work that it puts in doubt."""
+        """Apply the assessor's ejections, requested at `asked`; return hedged copies to send."""
         return ()
 
-    def list_out(self) -> set[ServerId]:
-        """List the ready servers that take no work."""
+    def list_excluded(self) -> set[ServerId]:
+        """List the known servers that get no work."""
         return set()
 
 
@@ -77,7 +77,7 @@
         self._traffic.replace_entry_count(live)
 
     def replace_servers(self, servers: list[BackendServer], now: float) -> None:
-        """Take the servers."""
+        """Replace the known servers."""
         self._traffic.replace_servers(servers, now)
 
     def offer(self, request: Request, now: float) -> Decision:
@@ -89,30 +89,33 @@
         return self._traffic.retry(dispatch, outcome, now)
 
     def finish(self, dispatch: Dispatch, outcome: Outcome, now: float) -> tuple[Decision, ...]:
-        """Record the end of an attempt."""
+        """Record the end of an attempt and return decisions on queued requests."""
         return self._traffic.finish(dispatch, outcome, now)
 
     def advance(self, now: float) -> tuple[Decision, ...]:
-        """Let time pass."""
+        """Advance to the given time and return the decisions on queued requests."""
         return self._traffic.advance(now)
 
     def digest(self, now: float) -> EvidenceDigest | None:
-        """Return evidence for the assessor."""
+        """Return the evidence to send to the assessor, or None."""
         return self._traffic.digest(now)
 
     def apply(self, ejections: EjectionSet, asked: float) -> tuple[Dispatch, ...]:
-        """Take the assessor's verdict."""
+        """Apply the assessor's ejections, requested at `asked`."""
         self._traffic.apply_ejections(ejections, asked)
         return ()
 
-    def list_out(self) -> set[ServerId]:
-        """List the ready servers that take no work."""
+    def list_excluded(self) -> set[ServerId]:
+        """List the known servers that get no work."""
         statuses = self._traffic.describe(0.0)
         return {status.server.server_id for status in statuses if not status.taking_work}
 
 
 class Baseline(Policy):
-    """Retries idempotent work twice elsewhere, and never queues or refuses by itself."""
+    """Retries work up to twice, elsewhere if it can; never queues, refuses only after the retries.
+
+    The simulation asks for a retry only of idempotent or refused work.
+    """
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -120,7 +123,7 @@
         self._outstanding: dict[ServerId, int] = {}
 
     def replace_servers(self, servers: list[BackendServer], now: float) -> None:
-        """Take the servers that are ready."""
+        """Replace the known servers by the ready ones of these, in random order."""
         self._servers = [server for server in servers if server.state is ServerState.READY]
         self._random.shuffle(self._servers)
 
@@ -141,19 +144,19 @@
 
     @abstractmethod
     def choose(self, servers: list[BackendServer], now: float) -> BackendServer:
-        """Choose among servers that may take the request."""
+        """Choose one of the servers for a request."""
 
     def _place(
         self, request: Request, attempt: int, tried: ServerId | None, now: float
     ) -> Dispatch:
-        fresh = [server for server in self._servers if server.server_id != tried]
-        chosen = self.choose(fresh or self._servers, now)
+        others = [server for server in self._servers if server.server_id != tried]
+        chosen = self.choose(others or self._servers, now)
         self._outstanding[chosen.server_id] = self._outstanding.get(chosen.server_id, 0) + 1
         return Dispatch(request, chosen, attempt, now)
 
 
 class RoundRobin(Baseline):
-    """Each server in turn."""
+    """Chooses each server in turn."""
 
     def __init__(self, random: Random) -> None:
         super().__init__(random)
@@ -166,10 +169,10 @@
 
 
 class LeastOutstanding(Baseline):
-    """The server with the least of this instance's own requests."""
+    """Chooses the server with the fewest outstanding requests of this instance."""
 
     def choose(self, servers: list[BackendServer], now: float) -> BackendServer:
-        """Return the server with the fewest, ties at random."""
+        """Return the server with the fewest outstanding requests; ties are broken at random."""
         start = int(self._random.random() * len(servers))
         outstanding = self._outstanding
         return min(
@@ -179,36 +182,41 @@
 
 
 class ConsecutiveFailures(LeastOutstanding):
-    """Least outstanding, without servers that failed a fixed count of times in a row."""
+    """Least outstanding, without servers ejected for `FAILURES_IN_A_ROW` consecutive failures.
+
+    An ejection lasts `EJECTION_SECONDS`.
+    """
 
     def __init__(self, random: Random) -> None:
         super().__init__(random)
-        self._in_a_row: dict[ServerId, int] = {}
-        self._out_until: dict[ServerId, float] = {}
+        self._consecutive_failures: dict[ServerId, int] = {}
+        self._ejected_until: dict[ServerId, float] = {}
         self._now = 0.0
 
     def choose(self, servers: list[BackendServer], now: float) -> BackendServer:
         """Return the least loaded server that isn't ejected."""
         self._now = now
-        place = [item for item in servers if self._out_until.get(item.server_id, 0.0) <= now]
-        return super().choose(place or servers, now)
+        available = [
+            item for item in servers if self._ejected_until.get(item.server_id, 0.0) <= now
+        ]
+        return super().choose(available or servers, now)
 
     def finish(self, dispatch: Dispatch, outcome: Outcome, now: float) -> tuple[Decision, ...]:
-        """Count failures in a row."""
+        """Count consecutive failures, and eject the server once there are too many."""
         server_id = dispatch.server.server_id
         if outcome.kind is OutcomeKind.SUCCESS:
-            self._in_a_row[server_id] = 0
+            self._consecutive_failures[server_id] = 0
         elif outcome.kind is not OutcomeKind.CANCELLED:
-            count = self._in_a_row.get(server_id, 0) + 1
-            self._in_a_row[server_id] = count
+            count = self._consecutive_failures.get(server_id, 0) + 1
+            self._consecutive_failures[server_id] = count
             if count >= FAILURES_IN_A_ROW:
-                self._in_a_row[server_id] = 0
-                self._out_until[server_id] = now + EJECTION_SECONDS
+                self._consecutive_failures[server_id] = 0
+                self._ejected_until[server_id] = now + EJECTION_SECONDS
         return super().finish(dispatch, outcome, now)
 
-    def list_out(self) -> set[ServerId]:
+    def list_excluded(self) -> set[ServerId]:
         """List the ejected servers."""
-        return {name for name, until in self._out_until.items() if until > self._now}
+        return {name for name, until in self._ejected_until.items() if until > self._now}
 
 
 BASELINES: Final[dict[str, Callable[[Random], Baseline]]] = {
--- a/packages/lab/src/persimmonusher_lab/decisions_report.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_report.py
@@ -1,4 +1,4 @@
-"""Measure the decisions and write a page with plots, and a JSON file to compare with later."""
+"""Measure the decisions; write a page with plots and a JSON file for later comparisons."""
 
 import base64
 import html
@@ -17,21 +17,21 @@
 )
 from persimmonusher_lab.decisions_plots import plot_all
 from persimmonusher_lab.decisions_policies import BASELINES
-from persimmonusher_lab.decisions_wellness import measure_well_hours
+from persimmonusher_lab.decisions_wellness import measure_healthy_hours
 
 VERSION: Final = 1
 JSON_NAME: Final = "decisions.json"
 PAGE_NAME: Final = "decisions.html"
-COMPARED_CASES: Final = (
+BASELINE_CASES: Final = (
     "well",
     "slow 8x",
     "failing 50%",
     "one-way cut",
     "overload 3x",
 )
-"""Cases that the baselines run as well; for the others only the project's own figures are told."""
+"""Cases that are run under the baselines too; the others run only under the project's policy."""
 GOAL_CASES: Final = ("well", "slow 8x", "failing 50%", "overload 3x")
-WELL_SERVER_HOURS: Final = {"Takeuchi": 100.0, "Graziani": 1000.0}
+HEALTHY_SERVER_HOURS: Final = {"Takeuchi": 100.0, "Graziani": 1000.0}
 COLUMNS: Final = {
     "p50_ms": "p50 ms",
     "p99_ms": "p99 ms",
@@ -46,12 +46,12 @@
     "entries_served": "entries served",
     "lowest_capacity": "lowest capacity",
     "false_ejections": "false ejections",
-    "ill_work": "work to ill",
+    "ill_work": "work to faulty",
     "share_fell_ms": "share fell ms",
     "detection_ms": "no work ms",
     "crashes": "crashes",
 }
-NOTABLE_CHANGE: Final = 0.1
+NOTABLE_RELATIVE_CHANGE: Final = 0.1
 HIGHER_IS_BETTER: Final = frozenset(
     {"goodput", "fairness", "prompt_refusals", "lowest_capacity", "lookups_served", "ok_share"}
 )
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Goal:
-    """One goal of the issue, with what was measured."""
+    """One goal for the decisions, with what was measured."""
 
     text: str
     measured: str
@@ -77,21 +77,23 @@
     """Run all cases, write the page, its plots and the JSON file, and return the goals.
 
     `baseline` is the JSON file of an earlier run, compared on the page. `well_hours_share` scales
-    the server-hours of well fleets, which take longest. `other_seeds` is for the cases without a
-    goal and for the baselines, as many as `seeds` where it is None.
+    the server-hours of healthy fleets, which take longest. `other_seeds` is the number of seeds for
+    the cases without a goal and for the baselines; None means as many as `seeds`.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    fewer = seeds if other_seeds is None else other_seeds
+    other_seed_count = seeds if other_seeds is None else other_seeds
     others = [case.name for case in CASES if case.name not in GOAL_CASES]
     jobs = [
-        *list_jobs(fewer, others, ("usher",)),
+        *list_jobs(other_seed_count, others, ("usher",)),
         *list_jobs(seeds, GOAL_CASES, ("usher",)),
-        *list_jobs(fewer, COMPARED_CASES, tuple(BASELINES)),
+        *list_jobs(other_seed_count, BASELINE_CASES, tuple(BASELINES)),
     ]
-    document: dict[str, Any] = {"version": VERSION, "seeds": seeds, "other_seeds": fewer}
+    document: dict[str, Any] = {"version": VERSION, "seeds": seeds, "other_seeds": other_seed_count}
     document["cases"] = collect(run_jobs(jobs, processes))
     document["well_hours"] = [
-        asdict(measure_well_hours(site, WELL_SERVER_HOURS[name] * well_hours_share, processes))
+        asdict(
+            measure_healthy_hours(site, HEALTHY_SERVER_HOURS[name] * well_hours_share, processes)
+        )
         for name, site in SITES.items()
     ]
     goals = judge(document)
@@ -105,7 +107,7 @@
 
 
 def judge(document: dict[str, Any]) -> list[Goal]:
-    """Compare the figures with the goals."""
+    """Compare the measured figures with the goals."""
     goals: list[Goal] = []
     limits = {"Takeuchi": 1.0, "Graziani": 3.0}
     for site, cases in document["cases"].items():
@@ -158,7 +160,7 @@
 
 
 def compare(earlier: dict[str, Any], document: dict[str, Any]) -> list[str]:
-    """List the medians that moved by more than a tenth, with the direction that is worse."""
+    """List the medians that changed by more than a tenth, each as better or worse."""
     changes: list[str] = []
     for site, cases in document["cases"].items():
         for case, policies in cases.items():
@@ -175,7 +177,7 @@
     place: str, name: str, before: dict[str, float], now: dict[str, float]
 ) -> Sequence[str]:
     old, new = before["p50"], now["p50"]
-    if abs(new - old) <= NOTABLE_CHANGE * max(abs(old), 1e-3):
+    if abs(new - old) <= NOTABLE_RELATIVE_CHANGE * max(abs(old), 1e-3):
         return ()
     worse = (new < old) == (name in HIGHER_IS_BETTER)
     overlap = before["least"] <= new <= before["worst"]
--- a/packages/lab/src/persimmonusher_lab/decisions_servers.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in backend servers on a virtual clock, with the faults of the brief."""
+"""Simulated backend servers on a virtual clock, with injected faults."""
 
 import heapq
 from collections import deque
@@ -12,16 +12,16 @@
 from persimmonusher_lab.decisions_policies import SERVICE
 from persimmonusher_model.identifiers import FailureDomain, ServerId
 
-QUEUE_FOR_EACH_SLOT: Final = 8
-"""A server sheds load beyond so many waiting requests for each slot."""
-BLIP_FAILING: Final = 0.5
+QUEUE_LIMIT_PER_SLOT: Final = 8
+"""A server refuses requests beyond this many queued ones per slot."""
+BLIP_FAILURE_SHARE: Final = 0.5
 FAIL_FAST_SECONDS: Final = 0.001
 CRASH_SECONDS: Final = 4.0
-"""Time a crashed server takes to start again."""
+"""Time that a crashed server takes to restart."""
 
 
 class EventLoop:
-    """Calls in order of virtual time."""
+    """Runs scheduled calls in order of virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -38,7 +38,7 @@
         self.call_at(self.now + delay, call, *args)
 
     def run_until(self, end: float) -> None:
-        """Run all calls up to a time."""
+        """Run all calls that are due up to `end`."""
         heap = self._heap
         while heap and heap[0][0] <= end:
             self.now, _, call, args = heapq.heappop(heap)
@@ -75,17 +75,17 @@
 
 @dataclass
 class Fault:
-    """What is wrong with a server, as of now."""
+    """The current faults of a server."""
 
     failing: float = 0.0
     """Share of real work that it fails."""
     fail_fast: bool = False
     slow: float = 1.0
-    """Factor on the time that work takes."""
+    """Multiplies the time that each request takes."""
     cut_from: set[FailureDomain] = field(default_factory=set)
     """Domains that its answers don't reach: a one-way cut."""
     reported_load: int | None = None
-    """A load that it reports whatever it has."""
+    """Load that it reports instead of the actual one."""
     cold_until: float = 0.0
 
 
@@ -93,10 +93,10 @@
 
 
 class FakeServer:
-    """Slots, a bounded queue, and a fault. It counts what it gets and when."""
+    """A server with slots, a bounded queue and faults; it records when requests arrive."""
 
     COLD_FACTOR: Final = 4.0
-    """Work takes so many times longer on a cold server at first, falling to 1 in a line."""
+    """Initial factor on the time of work on a cold server; it falls linearly to 1."""
     COLD_SECONDS: Final = 8.0
 
     def __init__(self, loop: EventLoop, random: Random, server: BackendServer) -> None:
@@ -105,7 +105,7 @@
         self.server = server
         self.fault = Fault()
         self.noise_failing = 0.0
-        self.speed = 1.0
+        self.duration_factor = 1.0
         self.blip_until = 0.0
         self.paused_until = 0.0
         self._paused_from = 0.0
@@ -114,29 +114,29 @@
         self._queue: deque[tuple[Attempt, Answer]] = deque()
         self._running: dict[Attempt, Answer] = {}
         self.watched_from: set[FailureDomain] = set()
-        """Domains whose work is recorded, all where none is named."""
+        """Failure domains whose requests are recorded in `received`; empty means all."""
         self.received: list[float] = []
-        """When work arrived, for the detection time."""
+        """Arrival times of requests, from which the detection time is computed."""
 
     @property
     def load(self) -> int:
-        """Return what it reports: requests in progress and queued, unless it lies."""
+        """Return the reported load: requests running and queued, unless a fault overrides it."""
         if self.fault.reported_load is not None:
             return self.fault.reported_load
         return len(self._running) + len(self._queue)
 
     def pause(self, seconds: float) -> None:
-        """Stop all work for a time, such as a garbage collection."""
+        """Stop all work for a time, as a garbage collection does."""
         self._paused_from = self._loop.now
         self.paused_until = self._loop.now + seconds
 
     def receive(self, attempt: Attempt, answer: Answer) -> None:
-        """Take a request that arrives now."""
+        """Start, queue or refuse a request that arrives now."""
         if not self.watched_from or attempt.domain in self.watched_from:
             self.received.append(self._loop.now)
         if self._loop.now < self.crashed_until:
             answer(attempt, OutcomeKind.REFUSED, None)
-        elif len(self._queue) >= QUEUE_FOR_EACH_SLOT * self.server.slots:
+        elif len(self._queue) >= QUEUE_LIMIT_PER_SLOT * self.server.slots:
             answer(attempt, OutcomeKind.REFUSED, self.load)
         elif len(self._running) < self.server.slots:
             self._start(attempt, answer)
@@ -145,21 +145,21 @@
 
     def _start(self, attempt: Attempt, answer: Answer) -> None:
         self._running[attempt] = answer
-        noise = BLIP_FAILING if self._loop.now < self.blip_until else self.noise_failing
+        noise = BLIP_FAILURE_SHARE if self._loop.now < self.blip_until else self.noise_failing
         failing = max(noise, self.fault.failing)
         failed = self._random.random() < failing
         kind = OutcomeKind.FAILURE if failed else OutcomeKind.SUCCESS
-        seconds = attempt.call.work * self._find_factor()
+        seconds = attempt.call.work * self._find_duration_factor()
         if failed and self.fault.fail_fast:
             seconds = FAIL_FAST_SECONDS
         start = max(self._loop.now, self.paused_until)
         self._loop.call_at(start + seconds, self._finish, attempt, kind, self._loop.now)
 
-    def _find_factor(self) -> float:
-        factor = self.fault.slow * self.speed
-        left = self.fault.cold_until - self._loop.now
-        if left > 0.0:
-            factor *= 1.0 + (self.COLD_FACTOR - 1.0) * left / self.COLD_SECONDS
+    def _find_duration_factor(self) -> float:
+        factor = self.fault.slow * self.duration_factor
+        cold_left = self.fault.cold_until - self._loop.now
+        if cold_left > 0.0:
+            factor *= 1.0 + (self.COLD_FACTOR - 1.0) * cold_left / self.COLD_SECONDS
         return factor
 
     def _finish(self, attempt: Attempt, kind: OutcomeKind, started: float) -> None:
@@ -167,9 +167,9 @@
         if answer is None:
             return
         if self._loop.now < self.paused_until and started < self._paused_from:
-            left = self._loop.now - self._paused_from
+            unfinished = self._loop.now - self._paused_from
             self._loop.call_at(
-                self.paused_until + left, self._finish, attempt, kind, self._loop.now
+                self.paused_until + unfinished, self._finish, attempt, kind, self._loop.now
             )
             return
         if attempt.call.crashing:
@@ -178,22 +178,22 @@
         del self._running[attempt]
         answer(attempt, kind, self.load)
         while self._queue and len(self._running) < self.server.slots:
-            following, its_answer = self._queue.popleft()
-            if not following.closed:
-                self._start(following, its_answer)
+            queued, queued_answer = self._queue.popleft()
+            if not queued.closed:
+                self._start(queued, queued_answer)
 
     def _crash(self) -> None:
         self.crashes += 1
         self.crashed_until = self._loop.now + CRASH_SECONDS
-        held = [*self._running.items(), *self._queue]
+        interrupted = [*self._running.items(), *self._queue]
         self._running.clear()
         self._queue.clear()
-        for attempt, answer in held:
+        for attempt, answer in interrupted:
             answer(attempt, OutcomeKind.BROKEN, None)
 
 
 def make_server(index: int, domains: int, slots: int, connections: int) -> BackendServer:
-    """Return the announcement of one of a service's servers, spread over the domains."""
+    """Return the announcement of one of a service's servers; the domains take turns."""
     return BackendServer(
         server_id=ServerId(f"server-{index}"),
         service=SERVICE,
--- a/packages/lab/src/persimmonusher_lab/decisions_simulation.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_simulation.py
@@ -1,7 +1,7 @@
 """A service on a virtual clock: callers, entry instances, servers, and one assessor.
 
-It is small on purpose: one service, no membership, no directory; messages between instances take
-the one-way latency and aren't lost but for the cuts that a case makes.
+It is kept small: one service, no membership, no directory. Messages between instances take the
+one-way latency and none is lost; a case may only cut a server's answers off from a domain.
 """
 
 import re
@@ -31,7 +31,13 @@
     FakeServer,
     make_server,
 )
-from persimmonusher_lab.decisions_sites import LONG_SHARE, LONG_WORK, MEAN_WORK, SHORT_WORK, Site
+from persimmonusher_lab.decisions_sites import (
+    LONG_WORK_SECONDS,
+    LONG_WORK_SHARE,
+    MEAN_WORK_SECONDS,
+    SHORT_WORK_SECONDS,
+    Site,
+)
 from persimmonusher_model.identifiers import (
     CallerId,
     FailureDomain,
@@ -42,24 +48,24 @@
 
 ADVANCE_SECONDS: Final = 0.05
 DIGEST_SECONDS: Final = 0.05
-"""How often an entry instance asks its decisions for a digest; they answer seldom."""
+"""How often an entry instance asks its policy for a digest; most calls return none."""
 RENEW_SECONDS: Final = 1.0
 ASSESS_SECONDS: Final = 0.1
-LOCAL_LATENCY: Final = 0.0003
+LOCAL_LATENCY_SECONDS: Final = 0.0003
 LOOKUP_SHARE: Final = 0.85
 CALLERS: Final = 40
 DEADLINE_SECONDS: Final = 3.0
 RESEND_SECONDS: Final = 1.0
-NUMBERS: Final = re.compile(r"\d+")
-PAUSE_EVERY: Final = 60.0
-"""Natural noise of a well server: pauses, blips in which half its work fails, such as a broken
-connection of its own to a database, and differences between servers in failures and speed."""
-BLIP_EVERY: Final = 120.0
+NUMBER_PATTERN: Final = re.compile(r"\d+")
+MEAN_PAUSE_INTERVAL_SECONDS: Final = 60.0
+"""Natural noise of a healthy server: pauses, blips in which half its work fails, such as when its
+own connection to a database breaks, and differences between servers in failures and speed."""
+MEAN_BLIP_INTERVAL_SECONDS: Final = 120.0
 BLIP_SECONDS: Final = 0.15
-NATURAL_FAILING: Final = (0.002, 0.012)
-NATURAL_SPEED: Final = (0.85, 1.2)
-PAUSE_MEAN: Final = 0.15
-PAUSE_LONGEST: Final = 0.6
+NATURAL_FAILURE_SHARES: Final = (0.002, 0.012)
+NATURAL_DURATION_FACTORS: Final = (0.85, 1.2)
+MEAN_PAUSE_SECONDS: Final = 0.15
+MAX_PAUSE_SECONDS: Final = 0.6
 
 
 @dataclass(frozen=True)
@@ -72,10 +78,10 @@
     inject: "Callable[[Simulation], None] | None" = None
     seconds: float = 9.0
     faulty: int = 0
-    """How many servers, from the first one, the fault is on."""
+    """How many servers have the fault, counted from the first."""
     skewed: bool = False
     watched: int | None = None
-    """The failure domain whose work on servers is recorded, all for None."""
+    """The failure domain whose requests the servers record; None means all domains."""
     greedy: bool = False
     """Whether one caller sends half of all requests."""
 
@@ -85,7 +91,7 @@
 
 @dataclass
 class Tally:
-    """What one run counted, from FAULT_AT on."""
+    """What one run counted from FAULT_AT on."""
 
     latencies: list[float] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -99,7 +105,7 @@
     false_ejections: int = 0
     lowest_capacity: float = 1.0
     notes: Counter[str] = field(default_factory=Counter)
-    out_times: dict[ServerId, list[float]] = field(default_factory=lambda: defaultdict(list))
+    ejection_times: dict[ServerId, list[float]] = field(default_factory=lambda: defaultdict(list))
 
 
 class Simulation:
@@ -132,7 +138,7 @@
         self._asked = [0.0] * site.entries
 
     def run(self) -> Tally:
-        """Run to the case's end."""
+        """Run the case to its end and return what was counted."""
         announced = [item.server for item in self.servers]
         for policy in self.policies:
             policy.replace_servers(announced, 0.0)
@@ -143,12 +149,12 @@
             phase = index / self.site.entries * ADVANCE_SECONDS
             self.loop.call_at(phase, self._tick, index)
         for server in self.servers:
-            server.noise_failing = self.random.uniform(*NATURAL_FAILING)
+            server.noise_failing = self.random.uniform(*NATURAL_FAILURE_SHARES)
             if self.case.watched is not None:
                 server.watched_from = {self.domains[self.case.watched]}
-            server.speed = self.random.uniform(*NATURAL_SPEED)
-            self.loop.call_later(self._draw(PAUSE_EVERY), self._pause, server)
-            self.loop.call_later(self._draw(BLIP_EVERY), self._blip, server)
+            server.duration_factor = self.random.uniform(*NATURAL_DURATION_FACTORS)
+            self.loop.call_later(self._draw(MEAN_PAUSE_INTERVAL_SECONDS), self._pause, server)
+            self.loop.call_later(self._draw(MEAN_BLIP_INTERVAL_SECONDS), self._blip, server)
         if self.case.inject:
             self.loop.call_at(FAULT_AT, self.case.inject, self)
         self.loop.call_at(FAULT_AT, self._watch_capacity)
@@ -158,11 +164,14 @@
 
     @property
     def capacity(self) -> float:
-        """Return requests a second with every slot busy, at the servers' own speeds."""
-        return sum(item.server.slots / item.speed for item in self.servers) / MEAN_WORK
+        """Return the requests per second with every slot busy, at each server's own speed."""
+        return (
+            sum(item.server.slots / item.duration_factor for item in self.servers)
+            / MEAN_WORK_SECONDS
+        )
 
     def announce(self) -> None:
-        """Tell every instance the servers' present announcements."""
+        """Send every instance and the assessor the servers' current announcements."""
         announced = [item.server for item in self.servers]
         for policy in self.policies:
             policy.replace_servers(announced, self.loop.now)
@@ -174,7 +183,7 @@
         return Call(self.loop.now, work, entry, caller)
 
     def send(self, call: Call, fingerprint: str, idempotent: bool) -> None:
-        """Let a caller's request reach its entry instance now."""
+        """Offer a caller's request to its entry instance now."""
         self._count += 1
         now = self.loop.now
         request = Request(
@@ -209,12 +218,12 @@
         return self.random.expovariate(1.0 / mean)
 
     def _pause(self, server: FakeServer) -> None:
-        server.pause(min(PAUSE_LONGEST, self._draw(PAUSE_MEAN)))
-        self.loop.call_later(self._draw(PAUSE_EVERY), self._pause, server)
+        server.pause(min(MAX_PAUSE_SECONDS, self._draw(MEAN_PAUSE_SECONDS)))
+        self.loop.call_later(self._draw(MEAN_PAUSE_INTERVAL_SECONDS), self._pause, server)
 
     def _blip(self, server: FakeServer) -> None:
         server.blip_until = self.loop.now + BLIP_SECONDS
-        self.loop.call_later(self._draw(BLIP_EVERY), self._blip, server)
+        self.loop.call_later(self._draw(MEAN_BLIP_INTERVAL_SECONDS), self._blip, server)
 
     def _arrive(self) -> None:
         now = self.loop.now
@@ -227,7 +236,9 @@
         caller = int(random.random() * CALLERS)
         if self.case.greedy and random.random() < 0.5:
             caller = 0
-        work = self._draw(LONG_WORK if random.random() < LONG_SHARE else SHORT_WORK)
+        work = self._draw(
+            LONG_WORK_SECONDS if random.random() < LONG_WORK_SHARE else SHORT_WORK_SECONDS
+        )
         idempotent = random.random() < LOOKUP_SHARE
         number = int(500 * random.random() ** 3) if idempotent else self._count
         call = self.make_call(work, entry, f"caller-{caller}")
@@ -267,7 +278,7 @@
         current = self.assessor.assess(self.loop.now)
         self._last_set = current
         if self.loop.now >= FAULT_AT and current.note:
-            self.tally.notes[NUMBERS.sub("n", current.note)] += 1
+            self.tally.notes[NUMBER_PATTERN.sub("n", current.note)] += 1
         if before is None:
             return
         if current.tells_other_than(before):
@@ -286,14 +297,14 @@
         faulty = {item.server.server_id for item in self.servers[: self.case.faulty]}
         fresh = {server_id for server_id, _ in list_ejected(current) - list_ejected(before)}
         for server_id in fresh:
-            self.tally.out_times[server_id].append(self.loop.now)
+            self.tally.ejection_times[server_id].append(self.loop.now)
             if server_id not in faulty and not self.by_id[server_id].crashes:
                 self.tally.false_ejections += 1
 
     def _watch_capacity(self) -> None:
         self.loop.call_later(0.05, self._watch_capacity)
         for policy in self.policies:
-            share = 1.0 - len(policy.list_out()) / len(self.servers)
+            share = 1.0 - len(policy.list_excluded()) / len(self.servers)
             self.tally.lowest_capacity = min(self.tally.lowest_capacity, share)
 
     def _carry_out(self, decision: Decision, call: Call) -> None:
@@ -317,7 +328,7 @@
 
     def _find_latency(self, attempt: Attempt) -> float:
         local = attempt.dispatch.server.failure_domain == attempt.domain
-        return LOCAL_LATENCY if local else self.site.latency
+        return LOCAL_LATENCY_SECONDS if local else self.site.latency
 
     def _send_answer(self, attempt: Attempt, kind: OutcomeKind, load: int | None) -> None:
         server = self.by_id[attempt.dispatch.server.server_id]
--- a/packages/lab/src/persimmonusher_lab/decisions_sites.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_sites.py
@@ -1,19 +1,21 @@
-"""The users' sizes of today and the work that their servers do."""
+"""The sizes of the users' fleets, and the durations of their servers' work."""
 
 from dataclasses import dataclass
 from typing import Final
 
 from persimmonusher_model.profile import DETECTION_FIRST, EJECTION_AVERSE, Profile
 
-SHORT_WORK: Final = 0.012
-LONG_WORK: Final = 0.2
-LONG_SHARE: Final = 0.05
-MEAN_WORK: Final = SHORT_WORK * (1 - LONG_SHARE) + LONG_WORK * LONG_SHARE
+SHORT_WORK_SECONDS: Final = 0.012
+LONG_WORK_SECONDS: Final = 0.2
+LONG_WORK_SHARE: Final = 0.05
+MEAN_WORK_SECONDS: Final = (
+    SHORT_WORK_SECONDS * (1 - LONG_WORK_SHARE) + LONG_WORK_SECONDS * LONG_WORK_SHARE
+)
 
 
 @dataclass(frozen=True)
 class Site:
-    """One user's size of today."""
+    """One user's fleet: its sizes, its one-way latency in seconds, and its profile."""
 
     name: str
     entries: int
@@ -26,8 +28,8 @@
 
     @property
     def capacity(self) -> float:
-        """Return requests a second with every slot busy."""
-        return self.workers * self.slots / MEAN_WORK
+        """Return the requests per second with every slot busy."""
+        return self.workers * self.slots / MEAN_WORK_SECONDS
 
 
 TAKEUCHI: Final = Site("Takeuchi", 48, 12, 4, 400, 0.0015, DETECTION_FIRST)
