--- a/packages/lab/src/persimmonusher_lab/trace.py
+++ b/packages/lab/src/persimmonusher_lab/trace.py
@@ -1,11 +1,11 @@
-"""Traces: calls of state machines with their results, recorded once and replayed for ever.
-
-A trace is a file of JSON lines. The first line has the format's version, the promise it is for,
-its story, and the machines with what makes them. Each further line is one call with its arguments
-and result; `states` says in words what the result must be, where it is the point of the trace.
-Replay builds the machines, makes the calls, and reports each stated result that differs. The
-other results are there to be read; `strict` compares them too, which a change of timing or
-placement breaks without breaking a promise.
+"""Traces: recorded calls of state machines with their results, replayed as regression tests.
+
+A trace is a file of JSON lines. The first line has the format's version, the promise under
+test, the trace's story, and the arguments that construct each machine. Each further line is one
+call with its arguments and result; where the result matters for the promise, `states` says in words
+what it must be. Replay constructs the machines, repeats the calls, and reports each stated result
+that differs. The other results are for the reader. `strict` compares them too, but they may change
+with timing or placement while the promise still holds.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class MachinePlan:
-    """What makes one machine: its kind and arguments, in JSON form."""
+    """How to construct one machine: its kind and arguments, in JSON form."""
 
     kind: str
     arguments: dict[str, Any]
@@ -52,7 +52,7 @@
 
 
 class TraceRecorder:
-    """Drives machines and keeps every call with its result.
+    """Calls machines and records every call with its result.
 
     >>> recorder = TraceRecorder("at most once", "two entries claim one key")
     >>> recorder.add("judge", "run")
@@ -65,12 +65,12 @@
         self._machines: dict[str, Any] = {}
 
     def add(self, name: str, kind: str, **arguments: Any) -> None:
-        """Make a machine; its arguments are typed values."""
+        """Construct a machine and record how; its arguments are typed values."""
         self._machines[name] = make_machine(kind, arguments)
         self.trace.machines[name] = MachinePlan(kind, encode_items(arguments))
 
     def call(self, machine: str, call: str, *arguments: Any, states: str = "") -> Any:
-        """Make one call and keep it; return its typed result."""
+        """Make and record one call; return its typed result."""
         encoded = [encode(argument) for argument in arguments]
         result = _make_call(
             self.trace.machines[machine].kind, self._machines[machine], call, arguments
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """A call whose result isn't the recorded one."""
+    """A call whose result differs from the recorded one."""
 
     line: int
     step: Step
@@ -102,7 +102,10 @@
 
 
 def replay(trace: Trace, strict: bool = False) -> list[Difference]:
-    """Make every call anew and list the stated results that differ, or all when strict."""
+    """Repeat every call and list the stated results that differ, or all of them if `strict`.
+
+    A call that raises UsherError is compared in both cases, as its error code and message.
+    """
     machines = {
         name: make_machine(plan.kind, {key: decode(item) for key, item in plan.arguments.items()})
         for name, plan in trace.machines.items()
@@ -153,7 +156,7 @@
     lines = path.read_text().splitlines()
     head = json.loads(lines[0]) if lines else {}
     if head.get("format") != FORMAT or head.get("version") != VERSION:
-        message = f"{path}: is no {FORMAT} of version {VERSION}"
+        message = f"{path}: is not a {FORMAT} file of version {VERSION}"
         raise UsherError(ErrorCode.BAD_VALUE, message)
     plans = {name: MachinePlan(**plan) for name, plan in head["machines"].items()}
     steps = [Step(**json.loads(line)) for line in lines[1:]]
--- a/packages/lab/src/persimmonusher_lab/trace_codec.py
+++ b/packages/lab/src/persimmonusher_lab/trace_codec.py
@@ -1,8 +1,8 @@
 """Typed values of the state machines as JSON and back, for traces.
 
 A frozen data class becomes an object with its module and class under `type`, such as
-`claims.Vote`; an enum member, bytes, a mapping and a set have tags of their own. Sequences come
-back as tuples, as all messages hold them.
+`claims.Vote`; an enum member, bytes, a mapping and a set have tags of their own. Sequences are
+decoded as tuples, as all messages hold them.
 """
 
 import base64
@@ -61,7 +61,7 @@
 
 
 def encode(value: Any) -> Any:
-    """Return the JSON form of a typed value; raise TypeError for a type that traces don't know."""
+    """Return the JSON form of a typed value; raise TypeError if traces don't support its type."""
     if value is None or isinstance(value, bool | int | float | str):
         return value
     if isinstance(value, Enum):
@@ -89,7 +89,7 @@
         return {SET: sorted(encode(item) for item in value)}
     if isinstance(value, Sequence):
         return [encode(item) for item in value]
-    raise TypeError(f"traces don't know the type {type(value).__name__}")
+    raise TypeError(f"traces don't support the type {type(value).__name__}")
 
 
 def decode(document: Any) -> Any:
--- a/packages/lab/src/persimmonusher_lab/trace_keepers.py
+++ b/packages/lab/src/persimmonusher_lab/trace_keepers.py
@@ -1,4 +1,4 @@
-"""Recorded scenarios of the keepers: an isolated one, and a wiped one with a second lost."""
+"""Trace scenarios of keepers: one is isolated, or one loses its disk and a second is lost."""
 
 from collections.abc import Collection
 from typing import Final
@@ -10,30 +10,30 @@
 from persimmonusher_lab.trace_machines import LINEAGE
 from persimmonusher_model.identifiers import Revision
 
-FIRST: Final = {"k1": "k1#a", "k2": "k2#a", "k3": "k3#a"}
+FIRST_IDENTITIES: Final = {"k1": "k1#a", "k2": "k2#a", "k3": "k3#a"}
 STEP_SECONDS: Final = 0.25
 ISOLATED_SECONDS: Final = 7_200.0
 ISOLATED_STEPS: Final = 150
-"""A replica takes a long pause for one bounded step, so that this many are elections at most."""
+"""A replica counts a long pause as one bounded step, so this bounds the elections it can try."""
 
 
 class KeeperFleet:
-    """Three recorded keepers with a network that the scenario cuts."""
+    """Three keepers whose calls are recorded, and a network from which a scenario cuts keepers off."""
 
     def __init__(self, recorder: TraceRecorder) -> None:
         self._recorder = recorder
-        self._names = {identity: name for name, identity in FIRST.items()}
+        self._names = {identity: name for name, identity in FIRST_IDENTITIES.items()}
         self.now = 0.0
         self.cut: set[str] = set()
         members = form_members(
-            LINEAGE, {KeeperId(identity): f"{identity}:1" for identity in FIRST.values()}
+            LINEAGE, {KeeperId(identity): f"{identity}:1" for identity in FIRST_IDENTITIES.values()}
         )
-        for seed, (name, identity) in enumerate(FIRST.items(), 1):
+        for seed, (name, identity) in enumerate(FIRST_IDENTITIES.items(), 1):
             recorder.add(name, "keeper", keeper=identity, seed=seed)
             recorder.call(name, "form", members)
 
-    def advance(self, seconds: float, only: Collection[str] = tuple(FIRST)) -> None:
-        """Let time pass in steps and deliver what is sent, but over cuts."""
+    def advance(self, seconds: float, only: Collection[str] = tuple(FIRST_IDENTITIES)) -> None:
+        """Advance time in steps and deliver the messages sent, except from or to cut-off keepers."""
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + STEP_SECONDS, 3)
@@ -41,7 +41,7 @@
                 self.deliver(name, self._recorder.call(name, "advance", self.now))
 
     def deliver(self, source: str, messages: Collection[LogMessage]) -> None:
-        """Deliver messages and what they cause, until nothing is on the way."""
+        """Deliver messages and those that they cause, until none is in flight."""
         waiting = [(source, message) for message in messages]
         while waiting:
             sender, message = waiting.pop(0)
@@ -53,18 +53,18 @@
 
     def find_leader(self) -> str:
         """Return the keeper that leads and isn't cut off."""
-        reachable = [name for name in FIRST if name not in self.cut]
+        reachable = [name for name in FIRST_IDENTITIES if name not in self.cut]
         return next(n for n in reachable if self._recorder.call(n, "read_role") == "leader")
 
     def change(self, change_id: str, based_on: int, states: str) -> None:
-        """Have a change accepted by the leader."""
+        """Propose a change to the leader, deliver the messages, and record its verdict."""
         leader = self.find_leader()
         change = make_change(change_id, based_on)
         self.deliver(leader, self._recorder.call(leader, "propose", change, self.now))
         self._recorder.call(leader, "find_verdict", change_id, states=states)
 
     def wipe(self, name: str, identity: str) -> None:
-        """Give a keeper an empty disk."""
+        """Restart a keeper with an empty disk, under another identity."""
         self._recorder.call(name, "wipe", identity, self.now)
         self._names[identity] = name
 
@@ -72,7 +72,7 @@
 def make_change(
     change_id: str, based_on: int, ramp_ms: int = 1000, operator: str = "ann"
 ) -> Change:
-    """Return a change of the one profile of these scenarios."""
+    """Return a change of the one profile that these scenarios use."""
     key = ObjectKey(ObjectKind.PROFILE, "shows")
     return Change(change_id, operator, key, Revision(based_on), f'{{"ramp_ms": {ramp_ms}}}')
 
@@ -88,27 +88,27 @@
     fleet.advance(4.0)
     fleet.change("c1", 0, "accepted as revision 1")
     leader = fleet.find_leader()
-    alone = next(name for name in FIRST if name != leader)
-    others = [name for name in FIRST if name != alone]
-    fleet.cut = {alone}
+    isolated = next(name for name in FIRST_IDENTITIES if name != leader)
+    others = [name for name in FIRST_IDENTITIES if name != isolated]
+    fleet.cut = {isolated}
     fleet.change("c2", 1, "accepted by the majority that is left")
     for _ in range(ISOLATED_STEPS):
         fleet.now += ISOLATED_SECONDS / ISOLATED_STEPS
-        recorder.call(alone, "advance", fleet.now)
-    recorder.call(alone, "read_role", states="cut off, it never becomes leader")
-    recorder.call(alone, "read_revision", states="cut off, it has nothing newer")
+        recorder.call(isolated, "advance", fleet.now)
+    recorder.call(isolated, "read_role", states="cut off, it never becomes leader")
+    recorder.call(isolated, "read_revision", states="cut off, it has nothing newer")
     fleet.advance(6.0, others)
     leader = fleet.find_leader()
     fleet.cut = set()
     fleet.advance(4.0)
     recorder.call(leader, "read_role", states="the leader isn't deposed by the return")
-    recorder.call(alone, "read_revision", states="the returned keeper caught up")
+    recorder.call(isolated, "read_revision", states="the returned keeper caught up")
     fleet.change("c3", 2, "the next change is accepted on top")
     return recorder.trace
 
 
 def record_wiped_keeper() -> Trace:
-    """Record a keeper repaired on an empty disk and a second one lost right after."""
+    """Record a keeper that restarts on an empty disk, and a second one lost right after."""
     recorder = TraceRecorder(
         "configuration: accepted is durable and never reverts",
         "Two changes are accepted. The leader's disk is replaced by an empty one, and right after "
@@ -121,7 +121,7 @@
     fleet.change("c2", 1, "accepted as revision 2")
     fleet.advance(1.0)
     wiped = fleet.find_leader()
-    lost, kept = (name for name in FIRST if name != wiped)
+    lost, kept = (name for name in FIRST_IDENTITIES if name != wiped)
     fleet.wipe(wiped, f"{wiped}#b")
     fleet.cut = {lost}
     fleet.advance(8.0)
--- a/packages/lab/src/persimmonusher_lab/trace_machines.py
+++ b/packages/lab/src/persimmonusher_lab/trace_machines.py
@@ -1,4 +1,4 @@
-"""The state machines that traces can drive, each with the calls that are recorded."""
+"""The state machines that traces can drive, each with the calls that a trace may make."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -33,12 +33,12 @@
 from persimmonusher_model.profile import Profile
 
 LINEAGE: Final = "trace"
-"""Names the one log of all recorded keepers."""
+"""Lineage of the one log that all recorded keepers share."""
 
 
 @dataclass(frozen=True)
 class MachineKind:
-    """How a machine is made, and which of its methods a trace may call."""
+    """How a machine is constructed, and which of its methods a trace may call."""
 
     make: Callable[..., Any]
     calls: frozenset[str]
@@ -54,35 +54,35 @@
         self._synced: tuple[Entry, ...] = ()
 
     def load(self) -> StoredLog:
-        """Read what was durable."""
+        """Discard unsynced entries and return what is durable."""
         self._entries = list(self._synced)
         return StoredLog(self._vote, self._snapshot, self._synced)
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries, not yet durable."""
+        """Add entries, durable only after `sync`."""
         self._entries.extend(entries)
 
     def truncate(self, index: int) -> None:
-        """Drop entries from an index on, not yet durable."""
+        """Drop entries from an index on, durable only after `sync`."""
         self._entries = [entry for entry in self._entries if entry.index < index]
 
     def sync(self) -> None:
-        """Make all durable."""
+        """Make all entries durable."""
         self._synced = tuple(self._entries)
 
     def save_vote(self, vote: Vote) -> None:
-        """Keep the vote at once."""
+        """Make the vote durable at once."""
         self._vote = vote
 
     def save_snapshot(self, snapshot: Snapshot, kept: Sequence[Entry]) -> None:
-        """Keep the snapshot and the rest of the log at once."""
+        """Make the snapshot and the log after it durable at once."""
         self._snapshot = snapshot
         self._entries = list(kept)
         self.sync()
 
 
 class KeeperMachine:
-    """A keeper with its disk; each event returns the messages that it caused."""
+    """A keeper with its disk; each event returns the messages to send."""
 
     def __init__(self, keeper: str, seed: int) -> None:
         self._id = KeeperId(keeper)
@@ -95,29 +95,29 @@
         self._decided: dict[str, Verdict] = {}
 
     def form(self, members: Members) -> tuple[LogMessage, ...]:
-        """Begin a new log."""
+        """Form a new log with these members."""
         self._keeper.form(members)
         return self._flush()
 
     def receive(self, message: LogMessage, now: float) -> tuple[LogMessage, ...]:
-        """Take a message."""
+        """Handle a message from another keeper."""
         self._keeper.receive(message, now, LINEAGE)
         return self._flush()
 
     def advance(self, now: float) -> tuple[LogMessage, ...]:
-        """Let time pass."""
+        """Advance the keeper to the time `now`."""
         self._keeper.advance(now)
         return self._flush()
 
     def propose(self, change: Change, now: float) -> tuple[LogMessage, ...]:
-        """Take a change as leader; its verdict shows in `find_verdict` once it is committed."""
+        """Propose a change to this keeper, which leads; `find_verdict` has the verdict once committed."""
         verdict = self._keeper.propose(change, now)
         if verdict is not None:
             self._decided[change.change_id] = verdict
         return self._flush()
 
     def admit(self, keeper: str, now: float) -> tuple[LogMessage, ...]:
-        """Take a keeper with an empty disk as a learner."""
+        """Admit a keeper with an empty disk as a learner."""
         self._keeper.admit(KeeperId(keeper), f"{keeper}:1", True, now)
         return self._flush()
 
@@ -126,21 +126,21 @@
         return self._decided.get(change_id)
 
     def crash(self, now: float) -> None:
-        """Lose all that is not durable and start again from the disk."""
+        """Lose all that is not durable and restart from the disk."""
         self._start(now)
 
     def wipe(self, keeper: str, now: float) -> None:
-        """Start again on an empty disk, as another identity."""
+        """Restart on an empty disk, under another identity."""
         self._id = KeeperId(keeper)
         self._disk = MemoryDisk()
         self._start(now)
 
     def read_role(self) -> str:
-        """Return what the keeper does in its term."""
+        """Return the keeper's role in its term, such as `leader`."""
         return self._keeper.replica.role.value
 
     def read_revision(self) -> int:
-        """Return the revision that the keeper has applied."""
+        """Return the revision of the configuration that the keeper has applied."""
         return self._keeper.configuration.revision
 
     def _flush(self) -> tuple[LogMessage, ...]:
@@ -157,19 +157,19 @@
         self._records: list[LedgerRecord] = []
 
     def take_try(self, item: Try) -> None:
-        """Take what a caller was told."""
+        """Add one attempt of a caller, with the answer that it got."""
         self._tries.append(item)
 
     def take_record(self, record: LedgerRecord) -> None:
-        """Take what a server did."""
+        """Add one record of what a server did."""
         self._records.append(record)
 
     def count_tries(self) -> int:
-        """Return how many tries were taken."""
+        """Return how many tries were added."""
         return len(self._tries)
 
     def judge_answers(self) -> PromiseResult:
-        """Check whole answers to the right callers."""
+        """Check that every answer is whole and belongs to its request."""
         return promises.check_whole_answers(self._tries)
 
     def judge_runs(self) -> tuple[PromiseResult, ...]:
@@ -188,10 +188,10 @@
 
 
 class TrafficMachine:
-    """One entry's decisions for one service, told by request id.
+    """One entry's decisions for one service; calls identify a request by its id.
 
-    Results say what a promise is about and leave out which of several servers was chosen, so that
-    a trace outlives a change of placement.
+    Results hold only what a promise is about. They leave out which of several servers was chosen,
+    so that a trace stays valid when placement changes.
     """
 
     def __init__(self, profile: Profile, domain: str, seed: int) -> None:
@@ -201,11 +201,11 @@
         self._dispatches: dict[str, Dispatch] = {}
 
     def replace_servers(self, servers: Sequence[BackendServer], now: float) -> None:
-        """Take the announced servers."""
+        """Replace the known servers by the announced ones."""
         self._traffic.replace_servers(servers, now)
 
     def apply_ejections(self, ejections: EjectionSet, asked: float) -> None:
-        """Take an assessor's set."""
+        """Apply an assessor's set; `asked` is when the entry requested it."""
         self._traffic.apply_ejections(ejections, asked)
 
     def offer(self, request: Request, now: float) -> str:
@@ -221,11 +221,11 @@
         self._traffic.finish(self._dispatches[request_id], outcome, now)
 
     def advance(self, now: float) -> None:
-        """Let time pass."""
+        """Advance the entry to the time `now`."""
         self._traffic.advance(now)
 
     def was_given(self, server_id: str, request_ids: Sequence[str]) -> bool:
-        """Tell whether any of these requests was placed on the server."""
+        """Return whether any of these requests was placed on the server."""
         placed = (self._dispatches.get(request_id) for request_id in request_ids)
         return any(item is not None and item.server.server_id == server_id for item in placed)
 
@@ -234,7 +234,7 @@
         return sum(status.taking_work for status in self._traffic.describe(now))
 
     def takes_work(self, server_id: str, now: float) -> bool:
-        """Tell whether this entry gives work to a server."""
+        """Return whether this entry gives work to a server."""
         statuses = {item.server.server_id: item for item in self._traffic.describe(now)}
         found = statuses.get(ServerId(server_id))
         return found is not None and found.taking_work
@@ -248,15 +248,15 @@
         self._register.replace_roster(roster)
 
     def claim(self, request: ClaimRequest, now: float) -> ClaimVote:
-        """Return the whole vote, for a claim's round."""
+        """Return the full vote, as a claim's round receives it."""
         return self._register.claim(request, now)
 
     def judge(self, request: ClaimRequest, now: float) -> str:
-        """Return the kind of the vote; asking twice changes nothing."""
+        """Return only the kind of the vote; repeating a claim changes nothing."""
         return self._register.claim(request, now).kind.value
 
     def settle(self, settlement: Settlement, now: float) -> None:
-        """Take how a request ended."""
+        """Record how a request ended."""
         self._register.settle(settlement, now)
 
 
@@ -310,5 +310,5 @@
 
 
 def make_machine(kind: str, arguments: Mapping[str, Any]) -> Any:
-    """Make a machine of a kind from its typed arguments."""
+    """Construct a machine of a kind from its typed arguments."""
     return MACHINES[kind].make(**arguments)
--- a/packages/lab/src/persimmonusher_lab/trace_runs.py
+++ b/packages/lab/src/persimmonusher_lab/trace_runs.py
@@ -1,4 +1,4 @@
-"""Traces of real processes: what callers were told and what servers ran, from a demo's folder."""
+"""Traces of real processes: answers to callers and work of servers, read from a demo's folder."""
 
 import json
 from collections import Counter
@@ -11,18 +11,18 @@
 from persimmonusher_lab.trace import Trace, TraceRecorder
 
 MARKS_FILE: Final = "marks.json"
-MAX_TOKENS: Final = 60
-"""Pieces of work in one trace: enough to hold each kind of outcome, small enough to read."""
+MAX_TOKENS_PER_TRACE: Final = 60
+"""Enough pieces of work to hold each kind of outcome, few enough to read."""
 
 
 def write_marks(folder: Path, instance: str, stopped_at: float, exit_code: int | None) -> None:
-    """Keep when which instance was stopped, for `record_run`."""
+    """Save which instance was stopped, when, and its exit code, for `record_run`."""
     document = {"instance": instance, "stopped_at": stopped_at, "exit_code": exit_code}
     (folder / MARKS_FILE).write_text(json.dumps(document))
 
 
 def record_run(folder: Path) -> Trace:
-    """Record the part of a demo's run that says most: resends, and the stopped instance's end."""
+    """Record two parts of a demo's run: resends, and requests in flight at the stopped instance."""
     marks = json.loads((folder / MARKS_FILE).read_text())
     tries = read_tries(sorted(folder.glob("*load-*.jsonl")) + [folder / "resend.jsonl"])
     tokens = choose_tokens(tries, marks["instance"], marks["stopped_at"])
@@ -34,7 +34,7 @@
         "resent with its key, and an instance stopped by SIGTERM under load.",
     )
     recorder.add("judge", "run")
-    _take_all(recorder, chosen, records)
+    _record_events(recorder, chosen, records)
     recorder.call("judge", "judge_answers", states="every answer whole and to its own request")
     recorder.call("judge", "judge_runs", states="no entry doubled or lost, no false not-run")
     recorder.call(
@@ -48,7 +48,7 @@
     return recorder.trace
 
 
-def _take_all(
+def _record_events(
     recorder: TraceRecorder, tries: Collection[Try], records: Collection[LedgerRecord]
 ) -> None:
     events: list[tuple[float, str, Try | LedgerRecord]] = []
@@ -59,7 +59,10 @@
 
 
 def choose_tokens(tries: Collection[Try], instance: str, stopped_at: float) -> set[str]:
-    """Choose work that was resent, and work in flight at the instance when it was stopped."""
+    """Choose work in flight at the instance when it was stopped, then work that was resent.
+
+    At most `MAX_TOKENS_PER_TRACE` tokens are returned.
+    """
     counts = Counter(item.token for item in tries)
     resent = [item.token for item in tries if counts[item.token] > 1]
     stopping = [
@@ -67,4 +70,4 @@
         for item in tries
         if item.instance == instance and item.started <= stopped_at <= item.ended
     ]
-    return set(list(dict.fromkeys([*stopping, *resent]))[:MAX_TOKENS])
+    return set(list(dict.fromkeys([*stopping, *resent]))[:MAX_TOKENS_PER_TRACE])
--- a/packages/lab/src/persimmonusher_lab/trace_scenarios.py
+++ b/packages/lab/src/persimmonusher_lab/trace_scenarios.py
@@ -1,4 +1,4 @@
-"""Recorded scenarios of the other promises, one trace each."""
+"""Trace scenarios without running keepers, and the table of all scenarios."""
 
 from collections.abc import Callable, Mapping
 from typing import Final
@@ -29,13 +29,13 @@
 )
 from persimmonusher_model.profile import DETECTION_FIRST
 
-SERVERS: Final = 5
-REGISTERS: Final = ("i1", "i2", "i3", "i4", "i5")
+SERVER_COUNT: Final = 5
+REGISTER_NAMES: Final = ("i1", "i2", "i3", "i4", "i5")
 WINDOW_SECONDS: Final = 600.0
 
 
 def record_race() -> Trace:
-    """Record two operators who race, and a resend whose answer was lost."""
+    """Record concurrent changes by two operators, and resends after the answers were lost."""
     recorder = TraceRecorder(
         "configuration: accepted is durable and never reverts",
         "Two operators change the same profile, both from revision 1. One wins; the other sees "
@@ -61,7 +61,7 @@
 
 
 def record_claims() -> Trace:
-    """Record an entry's claim, resends of it, and a restarted register."""
+    """Record an entry's claim, a resend through another entry, and a restarted register."""
     recorder = TraceRecorder(
         "a non-idempotent request runs at most once",
         "Entry i1 claims a key at all five registers. A resend through i2 must not be granted, "
@@ -70,10 +70,10 @@
     )
     members = tuple(
         Member(InstanceId(name), FailureDomain("abc"[number % 3]), 1)
-        for number, name in enumerate(REGISTERS)
+        for number, name in enumerate(REGISTER_NAMES)
     )
     roster = Roster(1, members)
-    for name in REGISTERS:
+    for name in REGISTER_NAMES:
         recorder.add(name, "register", instance=name, boot=1, window=WINDOW_SECONDS, roster=roster)
     first, resend = _make_claim("i1-1"), _make_claim("i2-1")
     recorder.add("first", "claim-round", request=first, roster=roster)
@@ -81,7 +81,7 @@
     recorder.add(
         "restarted", "register", instance="i3", boot=2, window=WINDOW_SECONDS, roster=roster
     )
-    for name in REGISTERS:
+    for name in REGISTER_NAMES:
         vote = recorder.call(name, "claim", first, 1.0)
         recorder.call(name, "judge", first, 1.0, states="the free key is granted")
         recorder.call("first", "receive", vote, states="granted from the third vote on")
@@ -126,7 +126,7 @@
 
 def _start_traffic(recorder: TraceRecorder) -> None:
     recorder.add("entry", "traffic", profile=DETECTION_FIRST, domain="a", seed=1)
-    servers = [_make_server(number) for number in range(SERVERS)]
+    servers = [_make_server(number) for number in range(SERVER_COUNT)]
     recorder.call("entry", "replace_servers", servers, 0.0)
 
 
@@ -167,7 +167,7 @@
 
 
 def record_drain() -> Trace:
-    """Record a server that leaves, told by its answer first and by an announcement later."""
+    """Record a draining server that says so in an answer first and in its announcement later."""
     recorder = TraceRecorder(
         "a leaving server receives no new work",
         "One server answers that it is draining. The entry stops at once, also while an older "
@@ -177,7 +177,7 @@
     recorder.call("entry", "replace_servers", [_make_server(0)], 0.0)
     recorder.call("entry", "offer", _make_request(1, idempotent=False), 1.0)
     recorder.call("entry", "finish", "r1", Outcome(OutcomeKind.DRAINING, 0.01), 1.1)
-    stale = [_make_server(number) for number in range(SERVERS)]
+    stale = [_make_server(number) for number in range(SERVER_COUNT)]
     recorder.call("entry", "replace_servers", stale, 1.2)
     numbers = range(2, 12)
     for number in numbers:
@@ -205,7 +205,7 @@
         recorder.call("entry", "offer", crashing, float(number))
         broken = Outcome(OutcomeKind.BROKEN, 0.05)
         recorder.call("entry", "finish", f"r{number}", broken, number + 0.1)
-    servers = [_make_server(number) for number in range(SERVERS)]
+    servers = [_make_server(number) for number in range(SERVER_COUNT)]
     recorder.call("entry", "replace_servers", servers, 3.0)
     verdict = QuarantinedRequest("bad", 300.0, (ServerId("s1"), ServerId("s2")))
     recorder.call("entry", "apply_ejections", _make_set((), (verdict,)), 3.0)
