--- a/packages/lab/src/persimmonusher_lab/faults.py
+++ b/packages/lab/src/persimmonusher_lab/faults.py
@@ -6,7 +6,7 @@
 
 
 class Faults(BaseModel):
-    """What goes wrong with real work while the health endpoint still says well."""
+    """What goes wrong with real work while the health endpoint, by default, reports healthy."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -24,9 +24,9 @@
     """Wait between the end of the work and its answer."""
     health_ok: bool = True
     drains_silently: bool = False
-    """Go on serving while it says that it is leaving, so that only the fleet keeps work away."""
+    """Keep serving while it announces that it leaves, so that only the fleet keeps work away."""
     load_factor: float = Field(default=1.0, ge=0.0)
-    """Multiplies the reported load; 0 claims to be idle."""
+    """Multiplies the reported load; with 0 the server always reports to be idle."""
     load_lag_seconds: float = Field(default=0.0, ge=0.0)
     """Age of the load that is reported."""
 
@@ -39,11 +39,11 @@
         return self
 
     def choose_failure(self, random: Random) -> bool:
-        """Tell whether this piece of work fails."""
+        """Return whether this piece of work fails, drawn at random."""
         return random.random() * 100 < self.fail_percent
 
     def choose_truncation(self, random: Random) -> bool:
-        """Tell whether this answer is cut off."""
+        """Return whether this answer is cut off, drawn at random."""
         return random.random() * 100 < self.truncate_percent
 
 
--- a/packages/lab/src/persimmonusher_lab/freshness_invariant.py
+++ b/packages/lab/src/persimmonusher_lab/freshness_invariant.py
@@ -1,4 +1,4 @@
-"""What a keeper says of its freshness, held against what was acknowledged."""
+"""Checks the age that a keeper states for its configuration against the acknowledged changes."""
 
 from bisect import bisect_left
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class FreshnessInvariant:
-    """A keeper holds all that was acknowledged longer ago than the age that it states.
+    """A keeper holds every change that was acknowledged longer ago than the age that it states.
 
     A change counts as acknowledged from the first verdict of any keeper.
     """
@@ -18,11 +18,11 @@
     def __init__(self) -> None:
         self._times: list[float] = []
         self._revisions: list[Revision] = []
-        """The newest revision that was acknowledged by each of the times."""
+        """The newest revision that was acknowledged by each of `_times`."""
         self._known: set[str] = set()
 
     def note_verdicts(self, verdicts: Mapping[str, Verdict], now: float) -> None:
-        """Take the verdicts that a keeper gives now."""
+        """Record the verdicts that a keeper gives now."""
         for change_id, verdict in verdicts.items():
             if not isinstance(verdict, Accepted) or change_id in self._known:
                 continue
@@ -34,10 +34,10 @@
     def check_keeper(self, keeper: ConfigurationKeeper, now: float) -> None:
         """Check one keeper, whose clock must show the same time."""
         age = keeper.replica.find_majority_age(now)
-        due = bisect_left(self._times, now - age)
+        expected_count = bisect_left(self._times, now - age)
         held = keeper.configuration.revision
-        if due and self._revisions[due - 1] > held:
+        if expected_count and self._revisions[expected_count - 1] > held:
             raise InvariantError(
                 f"{now:.3f} s: {keeper.replica.keeper} states an age of {age:.3f} s and holds "
-                f"revision {held}, not {self._revisions[due - 1]}"
+                f"revision {held}, not {self._revisions[expected_count - 1]}"
             )
--- a/packages/lab/src/persimmonusher_lab/log_cluster.py
+++ b/packages/lab/src/persimmonusher_lab/log_cluster.py
@@ -1,7 +1,7 @@
-"""Keepers of one log in memory, with disks that forget, and entries that pull from them.
+"""Keepers of one log in memory, whose disks lose unsynced writes, and entries that pull from them.
 
-The cluster carries out one event at a time and checks the invariants after it. Who delivers which
-message when is the caller's: the schedule in virtual time, or Hypothesis.
+The cluster carries out one event at a time and checks the invariants when it flushes a keeper. The
+caller decides which message is delivered when: the schedule in virtual time, or Hypothesis.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 TIMING = LogTiming(heartbeat=0.2, election_timeout=1.0, snapshot_retry=1.0)
 
-ANSWERS_A_START: Final = 1_000_000
+ANSWER_NUMBERS_PER_START: Final = 1_000_000
 
 NO_OUTPUT: Final = KeeperOutput("", (), {})
 
@@ -85,15 +85,15 @@
             self._snapshot_entries,
             Configuration(verdicts_kept=10_000),
             tolerance=self._tolerance,
-            first_answer=keeper.starts * ANSWERS_A_START,
+            first_answer=keeper.starts * ANSWER_NUMBERS_PER_START,
         )
 
     def crash(self, name: str) -> None:
-        """Stop a keeper; what its disk had not synced is lost."""
+        """Stop a keeper; what its disk has not synced is lost."""
         self.keepers[name].running = None
 
     def wipe(self, name: str) -> None:
-        """Replace a keeper's disk by an empty one; it is another identity from now on."""
+        """Replace a keeper's disk by an empty one; the keeper gets another identity."""
         keeper = self.keepers[name]
         keeper.running = None
         keeper.disk = MemoryDisk()
@@ -101,7 +101,7 @@
         keeper.identity = KeeperId(f"{name}#{keeper.disks}")
 
     def deliver(self, message: LogMessage, lineage: str, now: float) -> None:
-        """Give a message to its target, without the flush that follows."""
+        """Deliver a message to its target, without the flush that follows."""
         name = find_instance(message.target)
         running = self.keepers[name].running
         clock = self.read_clock(name, now)
@@ -109,13 +109,13 @@
             self._attempt(name, lambda: running.receive(message, clock, lineage))
 
     def advance(self, name: str, now: float) -> None:
-        """Let a keeper see the time, without the flush that follows."""
+        """Advance a keeper to its clock's time at `now`, without the flush that follows."""
         running = self.keepers[name].running
         if running is not None:
             self._attempt(name, lambda: running.advance(self.read_clock(name, now)))
 
     def propose(self, name: str, change: Change, now: float) -> Verdict | None:
-        """Ask a keeper for a verdict; None when it has none yet or doesn't lead."""
+        """Propose a change to a keeper; None if it has no verdict yet, doesn't lead or is down."""
         self.changes[change.change_id] = change
         running = self.keepers[name].running
         if running is None:
@@ -146,7 +146,7 @@
         return output
 
     def pull(self, entry: int, name: str) -> None:
-        """Let an entry take what a keeper has committed, and check every record of it."""
+        """Let an entry pull what a keeper has committed, and check every record of it."""
         running = self.keepers[name].running
         if running is None:
             return
@@ -159,9 +159,10 @@
         assert store.revision >= before, "the revision of an entry went down"
 
     def form_if_empty(self) -> None:
-        """Form the log on the first keeper when all run and none holds one, as formation does.
+        """Form the log on the first keeper if all run and none holds one, as formation does.
 
-        With a number of voters wanted, the keepers beyond it are spares that join as learners.
+        If the tolerance limits the voters, only that many keepers are founders; the others are
+        spares that join as learners.
         """
         running = list(self.list_running())
         empty = [keeper for keeper in running if not keeper.replica.log.members.members]
@@ -174,7 +175,7 @@
         empty[0].form(form_members(f"fleet{self.logs_formed}", identities))
 
     def admit_missing(self, now: float) -> None:
-        """Let the leader take in running keepers that are no members, as joining does."""
+        """Let the leader admit running keepers that are no members, as joining does."""
         leader = self.find_leader()
         if leader is None or leader.has_pending_members():
             return
@@ -185,7 +186,7 @@
                 except UsherError:
                     return
 
-    # What is seen from outside
+    # Queries
 
     def read_clock(self, name: str, now: float) -> float:
         """Return the time as a keeper's own clock shows it."""
@@ -207,7 +208,10 @@
         name: str = "",
         shown: ConfigurationKeeper | None = None,
     ) -> Change:
-        """Make a change of one of three profiles, based on what a keeper shows, or any keeper."""
+        """Return a change of the profile `name`, or of one of three at random.
+
+        It is based on the revision that `shown` holds, or else a running keeper chosen at random.
+        """
         key = ObjectKey(ObjectKind.PROFILE, name or f"p{self.random.randrange(3)}")
         shown = shown or self.random.choice(list(self.list_running()) or [None])
         live = shown.configuration.store.find_live(key) if shown else None
--- a/packages/lab/src/persimmonusher_lab/log_disk.py
+++ b/packages/lab/src/persimmonusher_lab/log_disk.py
@@ -11,7 +11,7 @@
 
 
 class DiskFault(Enum):
-    """How the next write fails."""
+    """How the next write to a disk fails."""
 
     LOST = "error, nothing written"
     WRITTEN = "error, although all was written"
@@ -19,7 +19,7 @@
 
 
 class MemoryDisk(LogStorage):
-    """Durable state and what waits for a sync."""
+    """A disk that holds durable state, and entries that wait for a sync."""
 
     def __init__(self) -> None:
         self.durable = EMPTY
@@ -27,7 +27,7 @@
         self._entries: list[Entry] = []
 
     def load(self) -> StoredLog:
-        """Forget what was not synced and return the rest."""
+        """Discard what was not synced and return the durable state."""
         self._entries = list(self.durable.entries)
         return self.durable
 
@@ -40,7 +40,7 @@
         self._entries = [entry for entry in self._entries if entry.index < index]
 
     def sync(self) -> None:
-        """Make the entries durable, unless the disk is to fail."""
+        """Make the entries durable; raise StorageError if a fault is set."""
         stored = self.durable
         self._replace(StoredLog(stored.vote, stored.snapshot, tuple(self._entries)))
 
--- a/packages/lab/src/persimmonusher_lab/log_faults.py
+++ b/packages/lab/src/persimmonusher_lab/log_faults.py
@@ -1,4 +1,4 @@
-"""The faults of simulated keepers, and the messages that they strike at."""
+"""The faults of simulated keepers, and the kinds of messages at which they are injected."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -84,7 +84,7 @@
     FaultKind.CRASH_RECEIVER_AFTER_SYNC,
 }
 DELAYS: Final = {FaultKind.DELAYED: 2.5, FaultKind.REORDERED: 0.1}
-"""Seconds by which a message comes later."""
+"""Seconds by which a message is delayed."""
 DISK_FAULTS: Final = {
     FaultKind.DISK_LOST: DiskFault.LOST,
     FaultKind.DISK_WRITTEN: DiskFault.WRITTEN,
--- a/packages/lab/src/persimmonusher_lab/log_invariants.py
+++ b/packages/lab/src/persimmonusher_lab/log_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold for the keepers after every step, whatever failed."""
+"""Invariants of the keepers' log that hold after every step, whatever failed."""
 
 from collections.abc import Mapping
 
@@ -13,7 +13,7 @@
 
 
 class LogInvariants:
-    """Remembers all that was ever seen and compares each step with it.
+    """Records everything that was observed and compares each step with it.
 
     Checked: one leader for each term; entries of equal index and term are equal and have equal
     predecessors; what is committed never changes and every later leader holds it; a change id has
@@ -30,7 +30,7 @@
         self._seen: dict[KeeperId, tuple[int, int, int, int]] = {}
 
     def check_keeper(self, keeper: ConfigurationKeeper) -> None:
-        """Check one keeper after it took a step."""
+        """Check one keeper after a step."""
         self.checks += 1
         replica = keeper.replica
         if replica.is_leader:
@@ -42,7 +42,7 @@
             self._check_log(keeper)
 
     def begin_log(self) -> None:
-        """Take that a log is formed, which must never happen over one that committed a change."""
+        """Record that a log is formed; fail if a change was decided in an earlier log."""
         if self.verdicts:
             self._fail("a new log was formed although changes had been decided")
         self.leaders.clear()
@@ -62,8 +62,8 @@
     def _check_completeness(self, keeper: ConfigurationKeeper) -> None:
         log = keeper.replica.log
         for index, entry in self.committed.items():
-            missed = entry.term <= keeper.replica.term and index > log.base_index
-            if missed and log.find_term(index) != entry.term:
+            is_expected = entry.term <= keeper.replica.term and index > log.base_index
+            if is_expected and log.find_term(index) != entry.term:
                 self._fail(
                     f"{keeper.replica.keeper} leads term {keeper.replica.term} without the "
                     f"committed entry {index} of term {entry.term}"
@@ -85,20 +85,20 @@
             self._fail(f"{keeper} committed another entry {entry.index} than was committed before")
 
     def check_verdicts(self, verdicts: Mapping[str, Verdict]) -> None:
-        """Check verdicts that any keeper gave."""
+        """Check that verdicts equal those that any keeper gave before on the same changes."""
         for change_id, verdict in verdicts.items():
             known = self.verdicts.setdefault(change_id, verdict)
             if known != verdict:
                 self._fail(f"change {change_id} was given {known} and then {verdict}")
 
     def check_record(self, record: Record) -> None:
-        """Check a record that any replica holds."""
+        """Check that a record equals the one seen before at its revision."""
         known = self.records.setdefault(record.revision, record)
         if known != record:
             self._fail(f"revision {record.revision} is {known} and also {record}")
 
     def check_end(self, keeper: ConfigurationKeeper, changes: Mapping[str, Change]) -> None:
-        """Check that a keeper that caught up still holds every verdict that was ever given."""
+        """Check that a keeper that caught up holds all verdicts, and that revisions have no gaps."""
         for change_id, verdict in self.verdicts.items():
             if keeper.configuration.find_verdict(changes[change_id]) != verdict:
                 self._fail(f"the verdict on {change_id} was lost: {verdict}")
--- a/packages/lab/src/persimmonusher_lab/log_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/log_matrix.py
@@ -17,7 +17,7 @@
 
 from persimmonusher_lab.log_faults import Fault, FaultKind, Step
 from persimmonusher_lab.log_invariants import InvariantError
-from persimmonusher_lab.log_schedule import HOURS, LogSchedule
+from persimmonusher_lab.log_schedule import LONG_FAULT_SECONDS, LogSchedule
 
 OCCURRENCES: Final = {
     Step.PRE_VOTE_REQUEST: (1, 3, 5),
@@ -29,13 +29,13 @@
     Step.APPEND_REPLY: (1, 20, 80),
     Step.SNAPSHOT: (1, 2, 3),
 }
-"""Where in the scenario a step is struck: early, in the middle, late."""
+"""The occurrences of a step that get a fault: early, in the middle and late in the scenario."""
 
 SETTLE_SECONDS: Final = 12.0
-MOST_WAITS: Final = 100
-"""Steps that a run waits for its faults to end: a few times the longest fault."""
+MAX_WAIT_STEPS: Final = 100
+"""Steps for which a run waits for its faults to end: several times the longest fault."""
 
-TRACE_LINES: Final = 60
+MAX_PRINTED_TRACE_LINES: Final = 60
 
 
 @dataclass(frozen=True)
@@ -68,7 +68,7 @@
 
 
 def run_case(case: Case) -> CaseResult:
-    """Run the scenario under a case's faults and check that it ends well."""
+    """Run the scenario under a case's faults and check that the keepers recover."""
     schedule = LogSchedule(case.seed, case.faults, size=case.size)
     failure = ""
     try:
@@ -87,7 +87,7 @@
 
 
 def _run_scenario(schedule: LogSchedule) -> None:
-    """Make changes with resends while a leader and then a follower restart."""
+    """Make changes, with resends, while a leader and then another keeper restart."""
     number = 0
     for second in range(16):
         for _ in range(3):
@@ -101,21 +101,21 @@
             name = leader.replica.keeper.partition("#")[0]
             others = [other for other in schedule.cluster.keepers if other != name]
             schedule.stop(name if second == 4 else others[0], 2.0 + second / 5)
-    for _ in range(MOST_WAITS):
+    for _ in range(MAX_WAIT_STEPS):
         if schedule.is_quiet():
             return
         number += 1
         schedule.change(number, "operator0")
-        schedule.run(HOURS / 20)
+        schedule.run(LONG_FAULT_SECONDS / 20)
         schedule.pull(number % 2)
     raise InvariantError("the faults have ended, but a keeper goes on failing")
 
 
 def _check_recovery(schedule: LogSchedule) -> None:
-    """Let the faults end; then a change must be accepted and all must agree."""
+    """Wait until all faults end; then a change must be decided and all keepers must agree."""
     schedule.disarm()
     schedule.run(SETTLE_SECONDS)
-    for _ in range(MOST_WAITS):
+    for _ in range(MAX_WAIT_STEPS):
         if not schedule.is_quiet():
             schedule.run(SETTLE_SECONDS)
     cluster = schedule.cluster
@@ -144,7 +144,10 @@
 
 
 def list_pairs() -> list[tuple[Fault, Fault]]:
-    """List every pair of faults; two lost disks of three are beyond what the log promises."""
+    """List every pair of faults at different messages, without pairs of wiped disks.
+
+    The log promises nothing when two of three disks are lost.
+    """
     singles = list(list_single())
     return [
         (first, second)
@@ -165,7 +168,7 @@
     """Print the end of a failed run's trace and the command that replays it."""
     print(f"FAILED {result.failure}")
     print(f"  replay: {result.case.command}")
-    for line in result.trace[-TRACE_LINES:]:
+    for line in result.trace[-MAX_PRINTED_TRACE_LINES:]:
         print(f"  {line}")
 
 
@@ -197,7 +200,7 @@
     singles = sum(len(case.faults) == 1 for case in cases)
     print(
         f"{size} keepers, {singles} single faults, {len(cases) - singles} pairs, seed {seed}, "
-        f"part {part}: {failed} failed; in {struck} cases every fault struck; "
+        f"part {part}: {failed} failed; in {struck} cases every fault was injected; "
         f"{steps} messages delivered, "
         f"{checks} states checked in {time.monotonic() - started:.0f} s"
     )
--- a/packages/lab/src/persimmonusher_lab/log_schedule.py
+++ b/packages/lab/src/persimmonusher_lab/log_schedule.py
@@ -1,8 +1,8 @@
 """A cluster in virtual time with faults armed at chosen messages.
 
-A fault is armed at the n-th message of a kind and strikes it, its sender or its receiver. Times are
-in election timeouts (1 s of virtual time): "hours" are `HOURS`, a hundred timeouts, as what matters
-is how many elections a cut-off keeper could try.
+A fault is armed at the n-th message of a kind and hits that message, its sender or its receiver.
+The election timeout is 1 s of virtual time. Faults "for hours" last `LONG_FAULT_SECONDS`, a hundred
+timeouts, as what matters is how many elections a cut-off keeper could try.
 """
 
 import heapq
@@ -35,17 +35,17 @@
 )
 from persimmonusher_model.identifiers import Revision
 
-SHORT: Final = 4.0
-PAUSES: Final = (0.05, 0.5, 2.0)
-"""Times that a crashed keeper is down: shorter than an election, as long, longer."""
+SHORT_FAULT_SECONDS: Final = 4.0
+DOWN_SECONDS: Final = (0.05, 0.5, 2.0)
+"""How long a crashed keeper is down: shorter than an election, about as long, or longer."""
 
-HOURS: Final = 100.0
-TICK: Final = 0.1
-LATENCY: Final = (0.001, 0.02)
+LONG_FAULT_SECONDS: Final = 100.0
+TICK_SECONDS: Final = 0.1
+LATENCY_SECONDS: Final = (0.001, 0.02)
 
 
 @dataclass(order=True)
-class _Due:
+class _QueuedMessage:
     at: float
     number: int
     message: LogMessage
@@ -59,7 +59,7 @@
         self,
         seed: int,
         faults: tuple[Fault, ...] = (),
-        tick: float = TICK,
+        tick: float = TICK_SECONDS,
         size: int = 3,
         tolerance: LossTolerance = ANY_KEEPERS,
     ) -> None:
@@ -73,8 +73,8 @@
         self.trace: list[str] = []
         self._armed = list(faults)
         self._counts = dict.fromkeys(Step, 0)
-        self._due: list[_Due] = []
-        self._number = 0
+        self._queue: list[_QueuedMessage] = []
+        self._message_count = 0
         self._lineage = ""
         self._cut_until: dict[tuple[str, str], float] = {}
         self._delays: dict[tuple[str, str], float] = {}
@@ -86,29 +86,29 @@
     # Time
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time, delivering what is due and ticking the keepers."""
         end = self.now + seconds
         while True:
             tick_name = min(self._next_tick, key=lambda name: self._next_tick[name])
             tick_at = self._next_tick[tick_name]
-            due_at = self._due[0].at if self._due else float("inf")
+            due_at = self._queue[0].at if self._queue else float("inf")
             if min(tick_at, due_at) > end:
                 break
             self.now = max(self.now, min(tick_at, due_at))
             if due_at <= tick_at:
-                self._deliver(heapq.heappop(self._due))
+                self._deliver(heapq.heappop(self._queue))
             else:
                 self._next_tick[tick_name] = tick_at + self._tick_seconds
                 self._tick(tick_name)
         self.now = end
 
     def is_quiet(self) -> bool:
-        """Tell whether all faults have struck or passed and nothing is down or cut."""
+        """Return whether no keeper is down or frozen and no link is cut."""
         ends = [*self._cut_until.values(), *self._down_until.values(), *self._frozen_until.values()]
         return all(end <= self.now for end in ends)
 
     def disarm(self) -> None:
-        """Let no more faults strike."""
+        """Drop the faults that were not injected yet."""
         self._armed.clear()
 
     def _tick(self, name: str) -> None:
@@ -116,7 +116,7 @@
             return
         if self.cluster.keepers[name].running is None:
             if self._down_until.get(name, 0.0) <= self.now:
-                self._note(f"{name} starts")
+                self._trace_event(f"{name} starts")
                 self.cluster.start(name, self.now)
             return
         before = self.cluster.keepers[name].disk.durable
@@ -127,26 +127,26 @@
 
     # Messages
 
-    def _deliver(self, due: _Due) -> None:
-        name = find_instance(due.message.target)
+    def _deliver(self, queued: _QueuedMessage) -> None:
+        name = find_instance(queued.message.target)
         frozen = self._frozen_until.get(name, 0.0)
         if frozen > self.now:
-            due.at = frozen
-            heapq.heappush(self._due, due)
+            queued.at = frozen
+            heapq.heappush(self._queue, queued)
             return
-        source = find_instance(due.message.source)
+        source = find_instance(queued.message.source)
         if self._cut_until.get((source, name), 0.0) > self.now:
             return
         self.steps += 1
         before = self.cluster.keepers[name].disk.durable
-        self.cluster.deliver(due.message, due.lineage, self.now)
-        self.trace.append(f"{self.now:9.3f} {_show(due.message)}")
-        crash = self._crash_on_receipt.pop(id(due.message), None)
+        self.cluster.deliver(queued.message, queued.lineage, self.now)
+        self.trace.append(f"{self.now:9.3f} {_format_message(queued.message)}")
+        crash = self._crash_on_receipt.pop(id(queued.message), None)
         if crash is FaultKind.CRASH_RECEIVER_BEFORE_SYNC:
-            self.stop(name, self._draw_pause())
+            self.stop(name, self._draw_down_seconds())
         elif crash is FaultKind.CRASH_RECEIVER_AFTER_SYNC:
             self.cluster.flush(name)
-            self.stop(name, self._draw_pause())
+            self.stop(name, self._draw_down_seconds())
         else:
             self._send_all(name, before)
 
@@ -155,18 +155,18 @@
         output = self.cluster.flush(name)
         self._check_freshness(name, output)
         if was_running and self.cluster.keepers[name].running is None:
-            self._note(f"{name} stopped: its disk failed")
-            self._down_until[name] = self.now + self._draw_pause()
+            self._trace_event(f"{name} stopped: its disk failed")
+            self._down_until[name] = self.now + self._draw_down_seconds()
         self._lineage = output.lineage
         for message in output.messages:
             fault = self._find_fault(message)
             if fault is None:
-                self._put(message)
-            elif not self._strike(fault, message, before):
+                self._enqueue(message)
+            elif not self._inject(fault, message, before):
                 return
 
     def _check_freshness(self, name: str, output: KeeperOutput) -> None:
-        """Check the age that a keeper states, unless a clock jumped: ages are spans of clocks."""
+        """Check the age that a keeper states, unless a clock jumped: clocks measure the ages."""
         self.freshness.note_verdicts(output.verdicts, self.now)
         keepers = self.cluster.keepers
         self._has_clock_jumped |= any(keeper.clock_offset for keeper in keepers.values())
@@ -184,42 +184,44 @@
                 return fault
         return None
 
-    def _put(self, message: LogMessage, delay: float = 0.0) -> None:
-        self._number += 1
-        latency = self.cluster.random.uniform(*LATENCY)
+    def _enqueue(self, message: LogMessage, delay: float = 0.0) -> None:
+        self._message_count += 1
+        latency = self.cluster.random.uniform(*LATENCY_SECONDS)
         link = (find_instance(message.source), find_instance(message.target))
         delay += self._delays.get(link, 0.0)
-        due = _Due(self.now + delay + latency, self._number, message, self._lineage)
-        heapq.heappush(self._due, due)
+        queued = _QueuedMessage(
+            self.now + delay + latency, self._message_count, message, self._lineage
+        )
+        heapq.heappush(self._queue, queued)
 
     def flush(self, name: str) -> None:
-        """Send what a keeper has to say after an event from outside, such as a change."""
+        """Send a keeper's messages after an event from outside, such as a change."""
         self._send_all(name, self.cluster.keepers[name].disk.durable)
 
     # Faults
 
     def stop(self, name: str, seconds: float) -> None:
-        """Crash a keeper and let it start again later."""
-        self._note(f"{name} crashes for {seconds} s")
+        """Crash a keeper and restart it after `seconds`."""
+        self._trace_event(f"{name} crashes for {seconds} s")
         self.cluster.crash(name)
         self._down_until[name] = self.now + seconds
 
-    def _draw_pause(self) -> float:
-        return self.cluster.random.choice(PAUSES)
+    def _draw_down_seconds(self) -> float:
+        return self.cluster.random.choice(DOWN_SECONDS)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Stop a keeper's process without ending it; messages to it wait."""
-        self._note(f"{name} freezes for {seconds} s")
+        """Pause a keeper's process without ending it; messages to it wait."""
+        self._trace_event(f"{name} freezes for {seconds} s")
         self._frozen_until[name] = self.now + seconds
 
     def cut(self, source: str, target: str, seconds: float) -> None:
-        """Lose everything from one keeper to another."""
-        self._note(f"{source} -> {target} is cut for {seconds} s")
+        """Lose all messages from one keeper to another."""
+        self._trace_event(f"{source} -> {target} is cut for {seconds} s")
         self._cut_until[(source, target)] = self.now + seconds
 
     def slow(self, source: str, target: str, delay_seconds: float) -> None:
-        """Delay what is sent from one keeper to another from now on."""
-        self._note(f"{source} -> {target} is slowed by {delay_seconds:.2f} s")
+        """Delay all later messages from one keeper to another."""
+        self._trace_event(f"{source} -> {target} is slowed by {delay_seconds:.2f} s")
         self._delays[(source, target)] = delay_seconds
 
     def isolate(self, name: str, seconds: float) -> None:
@@ -230,40 +232,42 @@
                 self.cut(other, name, seconds)
 
     def wipe(self, name: str, seconds: float = 1.0) -> None:
-        """Crash a keeper and let it return with an empty disk."""
-        self._note(f"{name} loses its disk")
+        """Crash a keeper and restart it with an empty disk after `seconds`."""
+        self._trace_event(f"{name} loses its disk")
         self.cluster.wipe(name)
         self._down_until[name] = self.now + seconds
 
-    def _strike(self, fault: Fault, message: LogMessage, before: object) -> bool:
-        """Carry out a fault; False when the sender sends nothing more."""
-        self._note(f"fault {fault} at {_show(message)}")
+    def _inject(self, fault: Fault, message: LogMessage, before: object) -> bool:
+        """Inject a fault; return False if the sender crashed and sends nothing more."""
+        self._trace_event(f"fault {fault} at {_format_message(message)}")
         source, target = find_instance(message.source), find_instance(message.target)
         if fault.kind in SENDER_CRASHES:
             if fault.kind is FaultKind.CRASH_SENDER_BEFORE_SYNC:
                 self.cluster.keepers[source].disk.durable = before  # type: ignore[assignment]
-            self.stop(source, self._draw_pause())
+            self.stop(source, self._draw_down_seconds())
             return False
         if fault.kind is FaultKind.LOST:
             return True
-        self._strike_link(fault.kind, message, source, target)
-        self._strike_instance(fault.kind, source, target)
+        self._inject_link_fault(fault.kind, message, source, target)
+        self._inject_instance_fault(fault.kind, source, target)
         return True
 
-    def _strike_link(self, kind: FaultKind, message: LogMessage, source: str, target: str) -> None:
+    def _inject_link_fault(
+        self, kind: FaultKind, message: LogMessage, source: str, target: str
+    ) -> None:
         if kind is FaultKind.CUT_OUT:
-            self.cut(source, target, SHORT)
+            self.cut(source, target, SHORT_FAULT_SECONDS)
         elif kind is FaultKind.CUT_OUT_FOR_HOURS:
-            self.cut(source, target, HOURS)
+            self.cut(source, target, LONG_FAULT_SECONDS)
         elif kind is FaultKind.CUT_BACK:
-            self.cut(target, source, SHORT)
+            self.cut(target, source, SHORT_FAULT_SECONDS)
         if kind in RECEIVER_CRASHES:
             self._crash_on_receipt[id(message)] = kind
         if kind is FaultKind.DUPLICATED:
-            self._put(message, 1.5)
-        self._put(message, DELAYS.get(kind, 0.0))
+            self._enqueue(message, 1.5)
+        self._enqueue(message, DELAYS.get(kind, 0.0))
 
-    def _strike_instance(self, kind: FaultKind, source: str, target: str) -> None:
+    def _inject_instance_fault(self, kind: FaultKind, source: str, target: str) -> None:
         receiver = self.cluster.keepers[target]
         if kind in DISK_FAULTS:
             receiver.disk.fault = DISK_FAULTS[kind]
@@ -272,26 +276,26 @@
         elif kind is FaultKind.WIPE:
             self.wipe(target)
         elif kind is FaultKind.FREEZE_SENDER:
-            self.freeze(source, SHORT)
+            self.freeze(source, SHORT_FAULT_SECONDS)
         elif kind is FaultKind.FREEZE_RECEIVER:
-            self.freeze(target, SHORT)
+            self.freeze(target, SHORT_FAULT_SECONDS)
         elif kind is FaultKind.ISOLATE_SENDER:
-            self.isolate(source, HOURS)
+            self.isolate(source, LONG_FAULT_SECONDS)
         elif kind is FaultKind.ISOLATE_RECEIVER:
-            self.isolate(target, HOURS)
+            self.isolate(target, LONG_FAULT_SECONDS)
 
-    def _note(self, text: str) -> None:
+    def _trace_event(self, text: str) -> None:
         self.trace.append(f"{self.now:9.3f} ** {text}")
 
     # Operators
 
     def change(self, number: int, operator: str) -> None:
-        """Let an operator make a change and ask every running keeper until one decides."""
+        """Make an operator's change and propose it to all keepers that aren't frozen."""
         change = self.cluster.make_change(number, operator)
         self.ask(change.change_id, change)
 
     def ask(self, change_id: str, change: object = None) -> None:
-        """Send a change, anew or again, to all keepers in turn, as an operator's client does."""
+        """Propose a change, new or resent, to all keepers in turn, as an operator's client does."""
         wanted = change or self.cluster.changes[change_id]
         for name in self.cluster.keepers:
             if self._frozen_until.get(name, 0.0) > self.now:
@@ -305,7 +309,7 @@
         return self.cluster.entries[entry].revision
 
 
-def _show(message: LogMessage) -> str:
+def _format_message(message: LogMessage) -> str:
     name = type(message).__name__
     head = f"{message.source} -> {message.target} {name} term {message.term}"
     if isinstance(message, AppendRequest):
--- a/packages/lab/src/persimmonusher_lab/slots.py
+++ b/packages/lab/src/persimmonusher_lab/slots.py
@@ -16,7 +16,7 @@
 
 
 class Slots:
-    """Lets `slots` requests work at once and holds at most `queue_limit` more."""
+    """Lets `slots` requests run at once and queues at most `queue_limit` more."""
 
     def __init__(self, slots: int, queue_limit: int) -> None:
         self._free = slots
@@ -31,7 +31,7 @@
         return self._slots - self._free + len(self._waiting)
 
     def find_load_at(self, now: float, lag: float) -> int:
-        """Return the load as it was `lag` seconds ago."""
+        """Return the load as it was `lag` seconds ago, 0 if no load is recorded from then."""
         if not lag:
             return self.load
         old = [load for at, load in self._history if at <= now - lag]
@@ -40,15 +40,15 @@
     @contextmanager
     def enter(self, deadline: float) -> Iterator[None]:
         """Hold a slot; raise NotRunError when the queue is full or the deadline passes."""
-        self._take(deadline)
+        self._acquire(deadline)
         self._history.append((time.monotonic(), self.load))
         try:
             yield
         finally:
-            self._give()
+            self._release()
             self._history.append((time.monotonic(), self.load))
 
-    def _take(self, deadline: float) -> None:
+    def _acquire(self, deadline: float) -> None:
         if self._free:
             self._free -= 1
             return
@@ -61,12 +61,12 @@
                 turn.wait()
         except Timeout:
             if turn.ready():
-                self._give()
+                self._release()
             else:
                 self._waiting.remove(turn)
             raise NotRunError(wire.SHED) from None
 
-    def _give(self) -> None:
+    def _release(self) -> None:
         if self._waiting:
             self._waiting.popleft().send(None)
         else:
--- a/packages/lab/src/persimmonusher_lab/trace_keepers.py
+++ b/packages/lab/src/persimmonusher_lab/trace_keepers.py
@@ -18,7 +18,7 @@
 
 
 class KeeperFleet:
-    """Three keepers whose calls are recorded, and a network from which a scenario cuts keepers off."""
+    """Three keepers with recorded calls, and a network from which a scenario cuts keepers off."""
 
     def __init__(self, recorder: TraceRecorder) -> None:
         self._recorder = recorder
@@ -33,7 +33,7 @@
             recorder.call(name, "form", members)
 
     def advance(self, seconds: float, only: Collection[str] = tuple(FIRST_IDENTITIES)) -> None:
-        """Advance time in steps and deliver the messages sent, except from or to cut-off keepers."""
+        """Advance time in steps and deliver the messages, except from or to cut-off keepers."""
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + STEP_SECONDS, 3)
--- a/packages/lab/src/persimmonusher_lab/virtual_fleet.py
+++ b/packages/lab/src/persimmonusher_lab/virtual_fleet.py
@@ -21,13 +21,13 @@
 TICK_SECONDS: Final = 0.1
 ANNOUNCE_SECONDS: Final = 1.0
 ANNOUNCE_TRIES: Final = 3
-"""Entries that a server announces itself to in one second, while they say that they are cut off."""
+"""Entries that a server tries for one announcement, while they answer that they are cut off."""
 GAP_SECONDS: Final = 2.5
-"""Two announcements in a row that no running entry took."""
+"""A longer gap means that no running entry accepted two announcements in a row."""
 MIN_LATENCY: Final = 0.001
 MAX_LATENCY: Final = 0.003
 SOCKET_DATAGRAMS: Final = 256
-"""What a stopped process's socket keeps; more is dropped by the kernel."""
+"""Datagrams that a stopped process's socket keeps; the kernel drops further ones."""
 BOOT_MILLISECONDS: Final = 1_000_000_000
 """The wall clock at the start of virtual time."""
 
@@ -41,10 +41,10 @@
     running: bool = True
     frozen: bool = False
     life: int = 0
-    """Rises with each start, so that events of an earlier life are ignored."""
+    """Rises with each crash and restart, so that events of an earlier life are ignored."""
     waiting: list[Callable[[], None]] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
-    """Effects that are no messages, since they were last cleared."""
+    """Effects other than messages, since the list was last cleared."""
     sent_messages: int = 0
 
     @property
@@ -63,12 +63,12 @@
     record: ServerRecord
     announcing: bool = True
     heard_last: float = 0.0
-    """When a running entry last took an announcement of it."""
+    """When an entry last accepted an announcement of it, unless that entry was cut off."""
     heard_since: float = 0.0
-    """Since when it was heard without a gap of more than `GAP_SECONDS`."""
+    """Since when it has been heard without a gap of more than `GAP_SECONDS`."""
 
     def note_heard(self, now: float) -> None:
-        """Note that a running entry took an announcement."""
+        """Record that an entry accepted an announcement."""
         if now - self.heard_last > GAP_SECONDS:
             self.heard_since = now
         self.heard_last = now
@@ -113,18 +113,18 @@
         return f"10.0.{number // 250}.{number % 250 + 1}:7000"
 
     def list_running(self) -> list[VirtualInstance]:
-        """List the instances whose process runs, those that are frozen left out."""
+        """List the instances whose process runs and isn't frozen."""
         return [one for one in self.instances if one.running and not one.frozen]
 
     def introduce_all(self) -> None:
-        """Let every instance know every other, as after joining, without the time that takes."""
+        """Make all instances known to each other at once, as joining does over time."""
         records = [instance.fleet.members.own for instance in self.instances]
         for instance in self.instances:
             for record in records:
                 instance.fleet.members.apply(record, 0.0)
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time and run the events that are due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, event = heapq.heappop(self._events)
@@ -154,7 +154,7 @@
         self.crash(number)
 
     def restart(self, number: int, clock_offset: float = 0.0) -> None:
-        """Start a process anew under its old id, with an empty memory.
+        """Restart a process under its old id, with an empty memory.
 
         Its wall clock is off by `clock_offset` seconds.
         """
@@ -164,11 +164,11 @@
         self._start(self.instances[number])
 
     def freeze(self, number: int) -> None:
-        """Stop a process as SIGSTOP does: its socket goes on to take datagrams."""
+        """Stop a process as SIGSTOP does: its socket goes on to receive datagrams."""
         self.instances[number].frozen = True
 
     def thaw(self, number: int) -> None:
-        """Let a stopped process go on: what waits in its socket comes in as it reads it."""
+        """Resume a stopped process, which then reads what waits in its socket."""
         instance = self.instances[number]
         instance.frozen = False
         waiting, instance.waiting = instance.waiting, []
@@ -208,21 +208,23 @@
         )
         server = VirtualServer(record)
         self.servers[server_id] = server
-        self._after(self.random.uniform(0.0, ANNOUNCE_SECONDS), lambda: self._announce_on(server))
+        self._after(
+            self.random.uniform(0.0, ANNOUNCE_SECONDS), lambda: self._announce_regularly(server)
+        )
         return server
 
     def tell(self, server: VirtualServer, state: ServerState, entry: int) -> ServerRecord:
-        """Announce a state to one chosen entry now, beside the server's own rhythm."""
+        """Announce a state to one chosen entry now, outside the server's regular announcements."""
         sequence = server.record.sequence + 1
         server.record = replace(server.record, state=state, sequence=sequence)
         self.deliver(server.record, entry)
         return server.record
 
     def deliver(self, record: ServerRecord, entry: int) -> None:
-        """Let an announcement arrive at an entry, whenever it was made."""
+        """Deliver an announcement, which may be an old one, to an entry."""
         instance = self.instances[entry]
         if instance.running:
-            self._at_instance(instance, lambda: self._announce_at(instance, record))
+            self._run_at_instance(instance, lambda: self._announce_at(instance, record))
 
     def _create(self, number: int, clock_offset: float = 0.0) -> VirtualInstance:
         name = InstanceId(f"entry-{number}")
@@ -251,8 +253,8 @@
         if not instance.frozen:
             self._carry_out(instance, instance.fleet.tick(self.now))
 
-    def _at_instance(self, instance: VirtualInstance, event: Callable[[], None]) -> None:
-        """Run an event in an instance's process, now or when it is no longer stopped."""
+    def _run_at_instance(self, instance: VirtualInstance, event: Callable[[], None]) -> None:
+        """Run an event in an instance's process, at once, or when it is resumed if it is stopped."""
         if not instance.frozen:
             event()
         elif len(instance.waiting) < SOCKET_DATAGRAMS:
@@ -279,15 +281,15 @@
             if self.loss and self.random.random() < self.loss:
                 continue
             latency = delay + self.random.uniform(MIN_LATENCY, MAX_LATENCY)
-            self._after(latency, self._arrival(sender.number, target, send.envelope))
+            self._after(latency, self._make_arrival(sender.number, target, send.envelope))
 
-    def _arrival(self, sender: int, target: int, envelope: Envelope) -> Callable[[], None]:
+    def _make_arrival(self, sender: int, target: int, envelope: Envelope) -> Callable[[], None]:
         def arrive() -> None:
             instance = self.instances[target]
             if instance.running:
                 self.before_receive(instance, envelope)
             if instance.running:
-                self._at_instance(instance, lambda: self._receive(instance, envelope, sender))
+                self._run_at_instance(instance, lambda: self._receive(instance, envelope, sender))
 
         return arrive
 
@@ -296,8 +298,8 @@
         self._carry_out(instance, effects)
         self.after_receive(instance, envelope)
 
-    def _announce_on(self, server: VirtualServer) -> None:
-        self._after(ANNOUNCE_SECONDS, lambda: self._announce_on(server))
+    def _announce_regularly(self, server: VirtualServer) -> None:
+        self._after(ANNOUNCE_SECONDS, lambda: self._announce_regularly(server))
         if not server.announcing:
             return
         server.record = replace(server.record, sequence=server.record.sequence + 1)
@@ -309,14 +311,14 @@
             if instance.frozen:
                 self.deliver(server.record, instance.number)
                 return
-            if self._take_announcement(instance, server.record):
+            if self._handle_announcement(instance, server.record):
                 return
 
     def _announce_at(self, instance: VirtualInstance, record: ServerRecord) -> None:
-        self._take_announcement(instance, record)
+        self._handle_announcement(instance, record)
 
-    def _take_announcement(self, instance: VirtualInstance, record: ServerRecord) -> bool:
-        """Let an entry take an announcement; False when it says that it is cut off."""
+    def _handle_announcement(self, instance: VirtualInstance, record: ServerRecord) -> bool:
+        """Let an entry handle an announcement; return False if it says that it is cut off."""
         announced, effects = instance.fleet.announce(record, self.now)
         self._carry_out(instance, effects)
         server = self.servers.get(record.server_id)
--- a/packages/lab/tests/test_log_matrix.py
+++ b/packages/lab/tests/test_log_matrix.py
@@ -4,7 +4,7 @@
 
 SINGLE_STEP = 29
 PAIR_STEP = 9_001
-"""Both are prime, so that the choice walks through all steps, places and kinds of faults."""
+"""Every n-th fault or pair is run; both n are prime, to reach all steps, occurrences and kinds."""
 
 
 class LogMatrixTest(unittest.TestCase):
