--- a/packages/lab/src/persimmonusher_lab/decisions_figures.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_figures.py
@@ -66,7 +66,7 @@
     placed = offered - refused + sum(tally.refusals[reason.value] for reason in AFTER_ATTEMPTS)
     seconds = simulation.case.seconds - FAULT_AT
     waits = tally.refusal_waits
-    faulty = simulation.servers[: simulation.case.faulty]
+    faulty = simulation.servers[: simulation.case.faulty_count]
     received = [server.received for server in faulty]
     return RunFigures(
         p50_ms=1000 * find_quantile(tally.latencies, 0.5),
--- a/packages/lab/src/persimmonusher_lab/decisions_report.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_report.py
@@ -141,19 +141,20 @@
         ratio = figures["slow 8x"]["p99_ms"]["p50"] / figures["well"]["p99_ms"]["p50"]
         goals.append(
             Goal(
-                f"{site}: p99 with one server 8 times slower is within 1.3 times the well fleet's",
+                f"{site}: p99 with one server 8 times slower is within 1.3 times the healthy fleet's",
                 f"{ratio:.2f} times",
                 ratio <= 1.3,
             )
         )
     allowed = {"Takeuchi": 0.01, "Graziani": 0.001}
-    for well in document["well_hours"]:
-        rate = well["ejections"] / max(well["server_hours"], 1e-9)
+    for healthy_run in document["well_hours"]:
+        rate = healthy_run["ejections"] / max(healthy_run["server_hours"], 1e-9)
         goals.append(
             Goal(
-                f"{well['site']}: false ejections at most {allowed[well['site']]:g} a server-hour",
-                f"{well['ejections']} in {well['server_hours']:.0f} drawn server-hours",
-                rate <= allowed[well["site"]] and well["server_hours"] * allowed[well["site"]] >= 1,
+                f"{healthy_run['site']}: false ejections at most {allowed[healthy_run['site']]:g} a server-hour",
+                f"{healthy_run['ejections']} in {healthy_run['server_hours']:.0f} drawn server-hours",
+                rate <= allowed[healthy_run["site"]]
+                and healthy_run["server_hours"] * allowed[healthy_run["site"]] >= 1,
             )
         )
     return goals
--- a/packages/lab/src/persimmonusher_lab/decisions_servers.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_servers.py
@@ -77,10 +77,10 @@
 class Fault:
     """The current faults of a server."""
 
-    failing: float = 0.0
+    failure_share: float = 0.0
     """Share of real work that it fails."""
     fail_fast: bool = False
-    slow: float = 1.0
+    slow_factor: float = 1.0
     """Multiplies the time that each request takes."""
     cut_from: set[FailureDomain] = field(default_factory=set)
     """Domains that its answers don't reach: a one-way cut."""
@@ -104,7 +104,7 @@
         self._random = random
         self.server = server
         self.fault = Fault()
-        self.noise_failing = 0.0
+        self.noise_failure_share = 0.0
         self.duration_factor = 1.0
         self.blip_until = 0.0
         self.paused_until = 0.0
@@ -145,9 +145,11 @@
 
     def _start(self, attempt: Attempt, answer: Answer) -> None:
         self._running[attempt] = answer
-        noise = BLIP_FAILURE_SHARE if self._loop.now < self.blip_until else self.noise_failing
-        failing = max(noise, self.fault.failing)
-        failed = self._random.random() < failing
+        noise_share = (
+            BLIP_FAILURE_SHARE if self._loop.now < self.blip_until else self.noise_failure_share
+        )
+        failure_share = max(noise_share, self.fault.failure_share)
+        failed = self._random.random() < failure_share
         kind = OutcomeKind.FAILURE if failed else OutcomeKind.SUCCESS
         seconds = attempt.call.work * self._find_duration_factor()
         if failed and self.fault.fail_fast:
@@ -156,7 +158,7 @@
         self._loop.call_at(start + seconds, self._finish, attempt, kind, self._loop.now)
 
     def _find_duration_factor(self) -> float:
-        factor = self.fault.slow * self.duration_factor
+        factor = self.fault.slow_factor * self.duration_factor
         cold_left = self.fault.cold_until - self._loop.now
         if cold_left > 0.0:
             factor *= 1.0 + (self.COLD_FACTOR - 1.0) * cold_left / self.COLD_SECONDS
--- a/packages/lab/src/persimmonusher_lab/decisions_simulation.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_simulation.py
@@ -77,10 +77,10 @@
     """Offered load as a share of capacity, by time."""
     inject: "Callable[[Simulation], None] | None" = None
     seconds: float = 9.0
-    faulty: int = 0
+    faulty_count: int = 0
     """How many servers have the fault, counted from the first."""
     skewed: bool = False
-    watched: int | None = None
+    watched_domain: int | None = None
     """The failure domain whose requests the servers record; None means all domains."""
     greedy: bool = False
     """Whether one caller sends half of all requests."""
@@ -123,7 +123,7 @@
                 Random(seed * 101 + index),
                 make_server(index, site.domains, site.slots, site.connections),
             )
-            for index in range(site.workers)
+            for index in range(site.server_count)
         ]
         self.by_id = {item.server.server_id: item for item in self.servers}
         self.domains = [FailureDomain(f"domain-{i % site.domains}") for i in range(site.entries)]
@@ -134,8 +134,8 @@
         self._attempts: dict[int, Attempt] = {}
         self._calls: dict[RequestId, Call] = {}
         self._count = 0
-        self._last_set: EjectionSet | None = None
-        self._asked = [0.0] * site.entries
+        self._last_ejections: EjectionSet | None = None
+        self._last_exchanged_at = [0.0] * site.entries
 
     def run(self) -> Tally:
         """Run the case to its end and return what was counted."""
@@ -149,12 +149,16 @@
             phase = index / self.site.entries * ADVANCE_SECONDS
             self.loop.call_at(phase, self._tick, index)
         for server in self.servers:
-            server.noise_failing = self.random.uniform(*NATURAL_FAILURE_SHARES)
-            if self.case.watched is not None:
-                server.watched_from = {self.domains[self.case.watched]}
+            server.noise_failure_share = self.random.uniform(*NATURAL_FAILURE_SHARES)
+            if self.case.watched_domain is not None:
+                server.watched_from = {self.domains[self.case.watched_domain]}
             server.duration_factor = self.random.uniform(*NATURAL_DURATION_FACTORS)
-            self.loop.call_later(self._draw(MEAN_PAUSE_INTERVAL_SECONDS), self._pause, server)
-            self.loop.call_later(self._draw(MEAN_BLIP_INTERVAL_SECONDS), self._blip, server)
+            self.loop.call_later(
+                self._draw_exponential(MEAN_PAUSE_INTERVAL_SECONDS), self._pause, server
+            )
+            self.loop.call_later(
+                self._draw_exponential(MEAN_BLIP_INTERVAL_SECONDS), self._blip, server
+            )
         if self.case.inject:
             self.loop.call_at(FAULT_AT, self.case.inject, self)
         self.loop.call_at(FAULT_AT, self._watch_capacity)
@@ -214,21 +218,23 @@
             )
         return BASELINES[name](random)
 
-    def _draw(self, mean: float) -> float:
+    def _draw_exponential(self, mean: float) -> float:
         return self.random.expovariate(1.0 / mean)
 
     def _pause(self, server: FakeServer) -> None:
-        server.pause(min(MAX_PAUSE_SECONDS, self._draw(MEAN_PAUSE_SECONDS)))
-        self.loop.call_later(self._draw(MEAN_PAUSE_INTERVAL_SECONDS), self._pause, server)
+        server.pause(min(MAX_PAUSE_SECONDS, self._draw_exponential(MEAN_PAUSE_SECONDS)))
+        self.loop.call_later(
+            self._draw_exponential(MEAN_PAUSE_INTERVAL_SECONDS), self._pause, server
+        )
 
     def _blip(self, server: FakeServer) -> None:
         server.blip_until = self.loop.now + BLIP_SECONDS
-        self.loop.call_later(self._draw(MEAN_BLIP_INTERVAL_SECONDS), self._blip, server)
+        self.loop.call_later(self._draw_exponential(MEAN_BLIP_INTERVAL_SECONDS), self._blip, server)
 
     def _arrive(self) -> None:
         now = self.loop.now
         rate = self.case.load(now) * self.site.capacity
-        self.loop.call_later(self._draw(1.0 / rate), self._arrive)
+        self.loop.call_later(self._draw_exponential(1.0 / rate), self._arrive)
         random = self.random
         entry = int(random.random() * self.site.entries)
         if self.case.skewed and random.random() < 0.4:
@@ -236,7 +242,7 @@
         caller = int(random.random() * CALLERS)
         if self.case.greedy and random.random() < 0.5:
             caller = 0
-        work = self._draw(
+        work = self._draw_exponential(
             LONG_WORK_SECONDS if random.random() < LONG_WORK_SHARE else SHORT_WORK_SECONDS
         )
         idempotent = random.random() < LOOKUP_SHARE
@@ -252,20 +258,22 @@
         if self.assessor is None:
             return
         digest = policy.digest(self.loop.now)
-        if digest is not None or self.loop.now - self._asked[index] >= RENEW_SECONDS:
+        if digest is not None or self.loop.now - self._last_exchanged_at[index] >= RENEW_SECONDS:
             self._exchange(index, digest)
 
     def _exchange(self, index: int, digest: EvidenceDigest | None) -> None:
         asked = self.loop.now
-        self._asked[index] = asked
-        self.loop.call_later(self.site.latency, self._serve_exchange, index, digest, asked)
+        self._last_exchanged_at[index] = asked
+        self.loop.call_later(self.site.one_way_latency, self._serve_exchange, index, digest, asked)
 
     def _serve_exchange(self, index: int, digest: EvidenceDigest | None, asked: float) -> None:
         assert self.assessor is not None
         if digest is not None:
             self.assessor.receive(digest, self.loop.now)
-        assert self._last_set is not None
-        self.loop.call_later(self.site.latency, self._apply, index, self._last_set, asked)
+        assert self._last_ejections is not None
+        self.loop.call_later(
+            self.site.one_way_latency, self._apply, index, self._last_ejections, asked
+        )
 
     def _apply(self, index: int, ejections: EjectionSet, asked: float) -> None:
         for copy in self.policies[index].apply(ejections, asked):
@@ -274,9 +282,9 @@
     def _assess(self) -> None:
         assert self.assessor is not None
         self.loop.call_later(ASSESS_SECONDS, self._assess)
-        before = self._last_set
+        before = self._last_ejections
         current = self.assessor.assess(self.loop.now)
-        self._last_set = current
+        self._last_ejections = current
         if self.loop.now >= FAULT_AT and current.note:
             self.tally.notes[NUMBER_PATTERN.sub("n", current.note)] += 1
         if before is None:
@@ -284,7 +292,7 @@
         if current.tells_other_than(before):
             self._count_ejections(before, current)
             for index in range(self.site.entries):
-                self.loop.call_later(self.site.latency, self._exchange, index, None)
+                self.loop.call_later(self.site.one_way_latency, self._exchange, index, None)
 
     def _count_ejections(self, before: EjectionSet, current: EjectionSet) -> None:
         def list_ejected(ejections: EjectionSet) -> set[tuple[ServerId, FailureDomain]]:
@@ -294,7 +302,7 @@
                 if item.state is EjectionState.EJECTED
             }
 
-        faulty = {item.server.server_id for item in self.servers[: self.case.faulty]}
+        faulty = {item.server.server_id for item in self.servers[: self.case.faulty_count]}
         fresh = {server_id for server_id, _ in list_ejected(current) - list_ejected(before)}
         for server_id in fresh:
             self.tally.ejection_times[server_id].append(self.loop.now)
@@ -328,7 +336,7 @@
 
     def _find_latency(self, attempt: Attempt) -> float:
         local = attempt.dispatch.server.failure_domain == attempt.domain
-        return LOCAL_LATENCY_SECONDS if local else self.site.latency
+        return LOCAL_LATENCY_SECONDS if local else self.site.one_way_latency
 
     def _send_answer(self, attempt: Attempt, kind: OutcomeKind, load: int | None) -> None:
         server = self.by_id[attempt.dispatch.server.server_id]
--- a/packages/lab/src/persimmonusher_lab/decisions_sites.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_sites.py
@@ -15,21 +15,21 @@
 
 @dataclass(frozen=True)
 class Site:
-    """One user's fleet: its sizes, its one-way latency in seconds, and its profile."""
+    """One user's fleet: its sizes, its latency between instances in seconds, and its profile."""
 
     name: str
     entries: int
-    workers: int
+    server_count: int
     slots: int
     connections: int
-    latency: float
+    one_way_latency: float
     profile: Profile
     domains: int = 4
 
     @property
     def capacity(self) -> float:
         """Return the requests per second with every slot busy."""
-        return self.workers * self.slots / MEAN_WORK_SECONDS
+        return self.server_count * self.slots / MEAN_WORK_SECONDS
 
 
 TAKEUCHI: Final = Site("Takeuchi", 48, 12, 4, 400, 0.0015, DETECTION_FIRST)
--- a/packages/lab/src/persimmonusher_lab/decisions_wellness.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_wellness.py
@@ -65,19 +65,19 @@
 
 def draw_chunk(site: Site, generator: numpy.random.Generator) -> tuple[Counts, ...]:
     """Draw answers, failures and slow answers, each by slice, failure domain and server."""
-    shape = (CHUNK_SLICES, site.domains, site.workers)
+    shape = (CHUNK_SLICES, site.domains, site.server_count)
     load = generator.uniform(*LOAD_RANGE)
-    mean = load * site.capacity / site.workers / site.domains * SLICE_SECONDS
+    mean = load * site.capacity / site.server_count / site.domains * SLICE_SECONDS
     answers = generator.poisson(mean, shape)
     failing = numpy.tile(
-        generator.uniform(*NATURAL_FAILURE_SHARES, site.workers), (CHUNK_SLICES, 1)
+        generator.uniform(*NATURAL_FAILURE_SHARES, site.server_count), (CHUNK_SLICES, 1)
     )
-    slow = numpy.tile(generator.uniform(*NATURAL_SLOW_SHARES, site.workers), (CHUNK_SLICES, 1))
+    slow = numpy.tile(generator.uniform(*NATURAL_SLOW_SHARES, site.server_count), (CHUNK_SLICES, 1))
     chunk_seconds = CHUNK_SLICES * SLICE_SECONDS
     for _ in range(generator.poisson(chunk_seconds / MEAN_BAD_REQUESTS_INTERVAL_SECONDS)):
         start, end = _draw_span(generator, BAD_REQUESTS_SECONDS)
         failing[start:end, :] += BAD_REQUESTS_FAILURE_SHARE
-    for server in range(site.workers):
+    for server in range(site.server_count):
         for _ in range(generator.poisson(chunk_seconds / MEAN_BLIP_INTERVAL_SECONDS)):
             start, end = _draw_span(generator, BLIP_SECONDS)
             failing[start:end, server] = BLIP_FAILURE_SHARE
@@ -99,7 +99,7 @@
     """Run one part of the simulated time and count the ejections."""
     site = TAKEUCHI if stretch.site == TAKEUCHI.name else GRAZIANI
     generator = numpy.random.default_rng(stretch.seed)
-    servers = [make_server(i, site.domains, site.slots, 0) for i in range(site.workers)]
+    servers = [make_server(i, site.domains, site.slots, 0) for i in range(site.server_count)]
     assessor = Assessor(SERVICE, site.profile, InstanceId("assessor"), 1)
     assessor.replace_servers(servers, 0.0)
     server_ids = [server.server_id for server in servers]
@@ -121,7 +121,7 @@
             }
             ejections += len(ejected - ejected_before)
             ejected_before = ejected
-    hours = chunks * CHUNK_SLICES * SLICE_SECONDS / 3600.0 * site.workers
+    hours = chunks * CHUNK_SLICES * SLICE_SECONDS / 3600.0 * site.server_count
     return WellHours(site.name, hours, ejections)
 
 
@@ -163,7 +163,7 @@
 ) -> WellHours:
     """Run the given server-hours, split over several processes."""
     parts = processes * 4
-    seconds = server_hours / site.workers * 3600.0 / parts
+    seconds = server_hours / site.server_count * 3600.0 / parts
     stretches = [Stretch(site.name, seconds, seed * 1000 + part) for part in range(parts)]
     with get_context("spawn").Pool(processes) as pool:
         results = pool.map(run_stretch, stretches, chunksize=1)
--- a/packages/lab/src/persimmonusher_lab/log_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/log_matrix.py
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True)
 class CaseResult:
-    """How a run ended. `struck` counts the armed faults whose message occurred."""
+    """How a run ended. `injected` counts the armed faults whose message occurred."""
 
     case: Case
     failure: str
     steps: int
     checks: int
-    struck: int
+    injected: int
     trace: tuple[str, ...]
 
 
@@ -81,7 +81,7 @@
         failure,
         schedule.steps,
         schedule.cluster.invariants.checks,
-        len(schedule.struck),
+        len(schedule.injected),
         tuple(schedule.trace),
     )
 
@@ -186,12 +186,12 @@
     else:
         cases = _choose_cases(pairs, seed, part, size)
     started = time.monotonic()
-    steps = checks = struck = failed = 0
+    steps = checks = fully_injected = failed = 0
     for case in cases:
         result = run_case(case)
         steps += result.steps
         checks += result.checks
-        struck += result.struck == len(case.faults)
+        fully_injected += result.injected == len(case.faults)
         if verbose and not result.failure:
             print("\n".join(result.trace))
         if result.failure:
@@ -200,7 +200,7 @@
     singles = sum(len(case.faults) == 1 for case in cases)
     print(
         f"{size} keepers, {singles} single faults, {len(cases) - singles} pairs, seed {seed}, "
-        f"part {part}: {failed} failed; in {struck} cases every fault was injected; "
+        f"part {part}: {failed} failed; in {fully_injected} cases every fault was injected; "
         f"{steps} messages delivered, "
         f"{checks} states checked in {time.monotonic() - started:.0f} s"
     )
--- a/packages/lab/src/persimmonusher_lab/log_schedule.py
+++ b/packages/lab/src/persimmonusher_lab/log_schedule.py
@@ -69,7 +69,7 @@
         self.freshness = FreshnessInvariant()
         self._has_clock_jumped = False
         self.steps = 0
-        self.struck: list[Fault] = []
+        self.injected: list[Fault] = []
         self.trace: list[str] = []
         self._armed = list(faults)
         self._counts = dict.fromkeys(Step, 0)
@@ -180,7 +180,7 @@
         for fault in self._armed:
             if (fault.step, fault.occurrence) == (step, self._counts[step]):
                 self._armed.remove(fault)
-                self.struck.append(fault)
+                self.injected.append(fault)
                 return fault
         return None
 
--- a/packages/lab/src/persimmonusher_lab/trace_machines.py
+++ b/packages/lab/src/persimmonusher_lab/trace_machines.py
@@ -110,7 +110,7 @@
         return self._flush()
 
     def propose(self, change: Change, now: float) -> tuple[LogMessage, ...]:
-        """Propose a change to this keeper as leader; `find_verdict` has its verdict once committed."""
+        """Propose a change to the leader; `find_verdict` has its verdict once committed."""
         verdict = self._keeper.propose(change, now)
         if verdict is not None:
             self._decided[change.change_id] = verdict
--- a/packages/lab/src/persimmonusher_lab/virtual_fleet.py
+++ b/packages/lab/src/persimmonusher_lab/virtual_fleet.py
@@ -254,7 +254,7 @@
             self._carry_out(instance, instance.fleet.tick(self.now))
 
     def _run_at_instance(self, instance: VirtualInstance, event: Callable[[], None]) -> None:
-        """Run an event in an instance's process, at once, or when it is resumed if it is stopped."""
+        """Run an event in an instance's process, at once, or once it resumes if it is stopped."""
         if not instance.frozen:
             event()
         elif len(instance.waiting) < SOCKET_DATAGRAMS:
