--- a/packages/lab/src/persimmonusher_lab/decisions_report.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_report.py
@@ -141,20 +141,21 @@
         ratio = figures["slow 8x"]["p99_ms"]["p50"] / figures["well"]["p99_ms"]["p50"]
         goals.append(
             Goal(
-                f"{site}: p99 with one server 8 times slower is within 1.3 times the healthy fleet's",
+                f"{site}: p99 with one server 8 times slower is within 1.3 times the healthy "
+                "fleet's",
                 f"{ratio:.2f} times",
                 ratio <= 1.3,
             )
         )
     allowed = {"Takeuchi": 0.01, "Graziani": 0.001}
-    for healthy_run in document["well_hours"]:
-        rate = healthy_run["ejections"] / max(healthy_run["server_hours"], 1e-9)
+    for hours in document["well_hours"]:
+        rate = hours["ejections"] / max(hours["server_hours"], 1e-9)
         goals.append(
             Goal(
-                f"{healthy_run['site']}: false ejections at most {allowed[healthy_run['site']]:g} a server-hour",
-                f"{healthy_run['ejections']} in {healthy_run['server_hours']:.0f} drawn server-hours",
-                rate <= allowed[healthy_run["site"]]
-                and healthy_run["server_hours"] * allowed[healthy_run["site"]] >= 1,
+                f"{hours['site']}: false ejections at most {allowed[hours['site']]:g} a server-hour",
+                f"{hours['ejections']} in {hours['server_hours']:.0f} drawn server-hours",
+                rate <= allowed[hours["site"]]
+                and hours["server_hours"] * allowed[hours["site"]] >= 1,
             )
         )
     return goals
--- a/packages/lab/src/persimmonusher_lab/decisions_sites.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_sites.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """One user's fleet: its sizes, its latency between instances in seconds, and its profile."""
+    """One user's fleet: its sizes, one-way latency in seconds, and profile."""
 
     name: str
     entries: int
