--- a/packages/lab/src/persimmonusher_lab/decisions_report.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_report.py
@@ -148,14 +148,13 @@
             )
         )
     allowed = {"Takeuchi": 0.01, "Graziani": 0.001}
-    for hours in document["well_hours"]:
-        rate = hours["ejections"] / max(hours["server_hours"], 1e-9)
+    for run in document["well_hours"]:
+        rate = run["ejections"] / max(run["server_hours"], 1e-9)
         goals.append(
             Goal(
-                f"{hours['site']}: false ejections at most {allowed[hours['site']]:g} a server-hour",
-                f"{hours['ejections']} in {hours['server_hours']:.0f} drawn server-hours",
-                rate <= allowed[hours["site"]]
-                and hours["server_hours"] * allowed[hours["site"]] >= 1,
+                f"{run['site']}: false ejections at most {allowed[run['site']]:g} a server-hour",
+                f"{run['ejections']} in {run['server_hours']:.0f} drawn server-hours",
+                rate <= allowed[run["site"]] and run["server_hours"] * allowed[run["site"]] >= 1,
             )
         )
     return goals
--- a/packages/lab/src/persimmonusher_lab/decisions_simulation.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_simulation.py
@@ -303,8 +303,8 @@
             }
 
         faulty = {item.server.server_id for item in self.servers[: self.case.faulty_count]}
-        fresh = {server_id for server_id, _ in list_ejected(current) - list_ejected(before)}
-        for server_id in fresh:
+        newly_ejected = {server_id for server_id, _ in list_ejected(current) - list_ejected(before)}
+        for server_id in newly_ejected:
             self.tally.ejection_times[server_id].append(self.loop.now)
             if server_id not in faulty and not self.by_id[server_id].crashes:
                 self.tally.false_ejections += 1
--- a/packages/lab/src/persimmonusher_lab/log_invariants.py
+++ b/packages/lab/src/persimmonusher_lab/log_invariants.py
@@ -98,7 +98,7 @@
             self._fail(f"revision {record.revision} is {known} and also {record}")
 
     def check_end(self, keeper: ConfigurationKeeper, changes: Mapping[str, Change]) -> None:
-        """Check a caught-up keeper for every verdict, and that revisions have no gaps."""
+        """Check that a caught-up keeper holds every verdict, and that revisions have no gaps."""
         for change_id, verdict in self.verdicts.items():
             if keeper.configuration.find_verdict(changes[change_id]) != verdict:
                 self._fail(f"the verdict on {change_id} was lost: {verdict}")
