--- a/packages/lab/src/persimmonusher_lab/announcer.py
+++ b/packages/lab/src/persimmonusher_lab/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a stand-in backend server, through a stand-in for the platform's balancer."""
+"""Announcements of a stand-in backend server, sent as through the platform's balancer."""
 
 import itertools
 import json
@@ -12,13 +12,13 @@
 from persimmonusher_decisions.server import BackendServer
 from persimmonusher_lab import wire
 
-INTERVAL_SECONDS: Final = 1.0
-TRIES: Final = 3
+ANNOUNCE_INTERVAL_SECONDS: Final = 1.0
+MAX_TRIES: Final = 3
 TRY_TIMEOUT: Final = urllib3.Timeout(connect=0.5, read=1.0)
 
 
 class Announcer:
-    """Sends the server's state each second to one entry, chosen at random for each try."""
+    """Sends the server's state to one entry each second; each try goes to another random entry."""
 
     def __init__(
         self,
@@ -33,17 +33,17 @@
         self._pool = urllib3.PoolManager(retries=False, timeout=TRY_TIMEOUT)
 
     def announce(self) -> bool:
-        """Send the current state; tell whether an entry took it within the tries."""
+        """Send the current state; return whether an entry accepted it within the tries."""
         server = self._describe(next(self._sequence))
         body = json.dumps(to_document(server)).encode()
-        tries = self._random.sample(self._addresses, min(TRIES, len(self._addresses)))
+        tries = self._random.sample(self._addresses, min(MAX_TRIES, len(self._addresses)))
         return any(self._send(address, body) for address in tries)
 
     def run(self, sleep: Callable[[float], object] = time.sleep) -> None:
-        """Announce each second, for ever."""
+        """Announce the state each second, forever."""
         while True:
             self.announce()
-            sleep(INTERVAL_SECONDS)
+            sleep(ANNOUNCE_INTERVAL_SECONDS)
 
     def _send(self, address: str, body: bytes) -> bool:
         try:
--- a/packages/lab/src/persimmonusher_lab/backend_process.py
+++ b/packages/lab/src/persimmonusher_lab/backend_process.py
@@ -1,4 +1,4 @@
-"""The process of one stand-in backend server: listener, announcements, ordered end."""
+"""The process of one stand-in backend server: listener, announcements, orderly shutdown."""
 
 import signal
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 def run_backend(options: BackendOptions, announce_to: Sequence[str], ledger_path: Path) -> None:
-    """Serve until SIGTERM, which announces `stopped` and ends the process."""
+    """Serve until SIGTERM, then announce `stopped` and return."""
     host, _, port = options.listen.rpartition(":")
     with Ledger(ledger_path) as ledger:
         stand_in = StandIn(options, ledger)
--- a/packages/lab/src/persimmonusher_lab/backend_server.py
+++ b/packages/lab/src/persimmonusher_lab/backend_server.py
@@ -1,6 +1,6 @@
 """A stand-in backend server: slots, gray faults, drain, cold start, and a ledger of what it ran.
 
-It runs as a process of its own, or in a thread of green threads of a test. The control endpoint
+It runs as a process of its own, or on a green thread of a test. The control endpoint
 (`/lab/faults`, `/lab/state`) belongs to the lab and isn't part of any documented interface.
 """
 
@@ -27,7 +27,7 @@
 CRASH_PATH: Final = "/crash"
 CRASH_EXIT_CODE: Final = 70
 MAX_BODY_BYTES: Final = 1_048_576
-MAX_WAIT_SECONDS: Final = 600.0
+DEFAULT_DEADLINE_SECONDS: Final = 600.0
 CANCEL_POLL_SECONDS: Final = 0.05
 JSON_TYPE: Final = ("Content-Type", "application/json")
 CANCELLED_STATUS: Final = "499 Client Closed Request"
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True)
 class BackendOptions:
-    """How one stand-in server is sized."""
+    """The settings of one stand-in server."""
 
     server_id: str
     service: str
     address: str
-    """As announced."""
+    """The address that it announces."""
     listen: str = ""
     failure_domain: str = "a"
     slots: int = 4
@@ -53,16 +53,16 @@
     long_ms: float = 200.0
     long_percent: int = 5
     cold_seconds: float = 0.0
-    """Time after the start in which work takes `COLD_FACTOR` times as long."""
+    """Time after the start in which work takes `COLD_START_FACTOR` times as long."""
     seed: int = 1
 
 
-COLD_FACTOR: Final = 3.0
+COLD_START_FACTOR: Final = 3.0
 
 
 @dataclass(frozen=True)
 class Answer:
-    """One answer of the stand-in, whole."""
+    """One complete answer of the stand-in."""
 
     status: str
     headers: tuple[tuple[str, str], ...]
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class Work:
-    """One request as the stand-in understands it."""
+    """What the stand-in reads from one request."""
 
     method: str
     path: str
@@ -83,17 +83,17 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Tell whether the work changes nothing, so that it may be cancelled."""
+        """Return whether the work changes nothing, so that it may be cancelled."""
         return self.method in ("GET", "HEAD")
 
 
 def read_work(environ: Environ, now: float) -> Work:
-    """Read the request's marks from its query and headers, and drain its body."""
+    """Read the work from the request's query and headers, and discard its body."""
     query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
     length = min(int(environ.get("CONTENT_LENGTH") or 0), MAX_BODY_BYTES)
     environ["wsgi.input"].read(length)
-    left_ms = environ.get(wire.to_environ_key(wire.DEADLINE_MS))
-    seconds_left = float(left_ms) / 1000 if left_ms else MAX_WAIT_SECONDS
+    deadline_ms = environ.get(wire.to_environ_key(wire.DEADLINE_MS))
+    seconds_left = float(deadline_ms) / 1000 if deadline_ms else DEFAULT_DEADLINE_SECONDS
     return Work(
         method=environ["REQUEST_METHOD"],
         path=environ["PATH_INFO"],
@@ -144,7 +144,7 @@
             answer = self._report_load()
         else:
             return self._answer_work(environ, start_response)
-        start_response(answer.status, [*answer.headers, _length(answer.body)])
+        start_response(answer.status, [*answer.headers, _content_length(answer.body)])
         return [answer.body]
 
     def _control(self, environ: Environ) -> Answer:
@@ -184,10 +184,10 @@
             answer = self._run(work, faults, connection)
         except NotRunError as refusal:
             answer = self._refuse(work, str(refusal))
-        start_response(answer.status, [*answer.headers, _length(answer.body)])
+        start_response(answer.status, [*answer.headers, _content_length(answer.body)])
         if faults.choose_truncation(self._random):
             environ["eventlet.minimum_write_chunk_size"] = 1
-            return _cut_off(answer.body, connection)
+            return _truncate(answer.body, connection)
         return [answer.body]
 
     def _refuse(self, work: Work, reason: str) -> Answer:
@@ -211,7 +211,11 @@
         return self._build_answer(work, fails)
 
     def _work(self, work: Work, faults: Faults, connection: Any) -> bool:
-        """Spend the service time; False when the caller left or the deadline passed."""
+        """Spend the service time.
+
+        Return False if idempotent work was cancelled, because the caller disconnected or the
+        deadline passed.
+        """
         end = time.monotonic() + self._draw_seconds(work, faults)
         while (left := end - time.monotonic()) > 0:
             if work.is_idempotent and time.monotonic() > work.deadline:
@@ -228,7 +232,7 @@
             is_long = self._random.random() * 100 < options.long_percent
             typical = options.long_ms if is_long else options.service_ms
         cold = time.monotonic() - self._started < options.cold_seconds
-        factor = faults.slow_factor * (COLD_FACTOR if cold else 1.0)
+        factor = faults.slow_factor * (COLD_START_FACTOR if cold else 1.0)
         return typical * factor * self._random.uniform(0.7, 1.3) / 1000
 
     def _build_answer(self, work: Work, fails: bool) -> Answer:
@@ -257,11 +261,11 @@
         )
 
 
-def _length(body: bytes) -> tuple[str, str]:
+def _content_length(body: bytes) -> tuple[str, str]:
     return ("Content-Length", str(len(body)))
 
 
-def _cut_off(body: bytes, connection: Any) -> Iterator[bytes]:
+def _truncate(body: bytes, connection: Any) -> Iterator[bytes]:
     yield body[: len(body) // 2]
     connection.shutdown(2)
 
--- a/packages/lab/src/persimmonusher_lab/balancer.py
+++ b/packages/lab/src/persimmonusher_lab/balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's balancer: a random entry that lately accepted connections."""
+"""A simulated platform balancer: it chooses a random entry that has not failed recently."""
 
 from collections.abc import Callable, Collection, Sequence
 from random import Random
@@ -20,12 +20,12 @@
         self._avoided_until: dict[str, float] = {}
 
     def choose(self, tried: Collection[str]) -> str:
-        """Choose a live entry, one that was not tried where there is one."""
+        """Choose a live entry, preferably one that was not tried; any entry if none is live."""
         now = self._monotonic()
         live = [item for item in self._entries if self._avoided_until.get(item, now) <= now]
         fresh = [item for item in live if item not in tried]
         return self._random.choice(fresh or live or self._entries)
 
     def note_failure(self, entry: str) -> None:
-        """Leave out an entry that gave no answer, for a while."""
+        """Leave out an entry that gave no answer, for `AVOID_SECONDS`."""
         self._avoided_until[entry] = self._monotonic() + AVOID_SECONDS
--- a/packages/lab/src/persimmonusher_lab/capacity.py
+++ b/packages/lab/src/persimmonusher_lab/capacity.py
@@ -1,4 +1,4 @@
-"""What the target size costs each role, worked out from slopes measured in the same run.
+"""What the target size costs each role, computed from slopes measured in the same run.
 
 `python -m persimmonusher_lab capacity` prints the slopes and the arithmetic as Markdown tables for
 docs/CAPACITY.md. Assumptions that no measurement gives are constants here, each with its reason.
@@ -11,33 +11,34 @@
 
 from persimmonusher_lab.slopes import Slope
 
-NODES: Final = 2_500
-WORKERS: Final = 110_000
+INSTANCES: Final = 2_500
+BACKEND_SERVERS: Final = 110_000
 SERVICES: Final = 2_200
 ROUTES: Final = 200_000
-PEAK_REQUESTS: Final = 2_400_000
-CHANGES_A_DAY: Final = 47_000
-RESTARTS_A_DAY: Final = 15_400
+PEAK_REQUESTS_PER_SECOND: Final = 2_400_000
+CHANGES_PER_DAY: Final = 47_000
+RESTARTS_PER_DAY: Final = 15_400
 DAY_SECONDS: Final = 86_400
 ASSESSORS: Final = 52
-"""Of the 57 instances that may be set aside; the other five are keepers."""
+"""Instances that only assess: 57 instances may be set aside, and the other five are keepers."""
 KEYED_SHARE: Final = 0.05
 """Requests with a key at the peak: lookups outnumber entries and fees by far in both workloads."""
 KEY_WINDOW_SECONDS: Final = 600.0
 NOTIFIED_PEERS: Final = 3
-"""Peers that an instance tells of a new revision."""
-HINTED_SERVICES: Final = 0.2
-"""Part of the services that one entry has traffic for in any second; with 960 requests/s over 2,200
-services a balancer that spreads evenly gives about 0.35, one that keeps callers together less."""
+"""Peers that an instance notifies of a new revision."""
+ACTIVE_SERVICES_SHARE: Final = 0.2
+"""Share of the services for which one entry has traffic in any second. With 960 requests/s over
+2,200 services, a balancer that spreads evenly gives about 0.35, one that keeps callers together
+less."""
 
-CORE_LIMIT: Final = 4.9
-MEMORY_LIMIT: Final = 256.0
-BYTES_LIMIT: Final = 8_000.0
+CORE_LIMIT_PERCENT: Final = 4.9
+MEMORY_LIMIT_MB: Final = 256.0
+BYTES_PER_SECOND_LIMIT: Final = 8_000.0
 
 
 @dataclass(frozen=True)
 class Cost:
-    """One role's cost at one node, with the arithmetic that gives it."""
+    """One role's cost at one instance, with the arithmetic that gives it."""
 
     role: str
     what: str
@@ -57,7 +58,7 @@
 
 
 def measure_all() -> list[Slope]:
-    """Measure every slope; needs the loop installed."""
+    """Measure every slope; requires `loop.install()` before."""
     from persimmonusher_lab.slopes_calls import measure_calls
     from persimmonusher_lab.slopes_claims import measure_claims
     from persimmonusher_lab.slopes_configuration import measure_configuration_slopes
@@ -74,38 +75,40 @@
 
 
 def compute_memory(slopes: Slopes) -> list[Cost]:
-    """Work out the memory of one entry for control, in MB."""
+    """Compute the memory that one entry needs for control, in MB."""
 
     def cost(role: str, slope: str, count: float, of: str) -> Cost:
         megabytes = slopes[slope] * count / 1e6
         return Cost(role, of, megabytes, "MB", f"{count:,.0f} x {slopes[slope]:,.0f} B")
 
-    keyed = PEAK_REQUESTS * KEYED_SHARE / NODES
+    keyed = PEAK_REQUESTS_PER_SECOND * KEYED_SHARE / INSTANCES
     records = keyed * KEY_WINDOW_SECONDS * 5
     return [
         cost("configuration", "route at an entry", ROUTES, "routes"),
-        cost("directory", "server in the directory", WORKERS, "backend servers"),
-        cost("membership", "instance in membership", NODES, "instances"),
+        cost("directory", "server in the directory", BACKEND_SERVERS, "backend servers"),
+        cost("membership", "instance in membership", INSTANCES, "instances"),
         cost("entry", "service in use", SERVICES, "services in use"),
-        cost("entry", "server in a service's traffic", WORKERS, "servers of services in use"),
+        cost(
+            "entry", "server in a service's traffic", BACKEND_SERVERS, "servers of services in use"
+        ),
         cost("claim register", "record at a register", records, "keys of ten minutes"),
     ]
 
 
 def compute_processor(slopes: Slopes) -> list[Cost]:
-    """Work out the processor time of one node for control, in percent of a core."""
+    """Compute the processor time that one instance needs for control, in percent of a core."""
     call = slopes["gRPC call, both sides"]
     claim = slopes["claim on a link, both sides"]
     datagram = slopes["datagram sealed"] + slopes["datagram taken"]
-    change_rate = CHANGES_A_DAY / DAY_SECONDS
-    keyed = PEAK_REQUESTS * KEYED_SHARE / NODES
-    asks = SERVICES * HINTED_SERVICES
-    reports = NODES * asks / ASSESSORS
+    change_rate = CHANGES_PER_DAY / DAY_SECONDS
+    keyed = PEAK_REQUESTS_PER_SECOND * KEYED_SHARE / INSTANCES
+    active_services = SERVICES * ACTIVE_SERVICES_SHARE
+    reports = INSTANCES * active_services / ASSESSORS
 
     def cost(role: str, what: str, microseconds: float, arithmetic: str) -> Cost:
         return Cost(role, what, microseconds / 1e4, "% of a core", arithmetic)
 
-    churn = RESTARTS_A_DAY / DAY_SECONDS * 2
+    churn = RESTARTS_PER_DAY / DAY_SECONDS * 2
     return [
         cost(
             "membership",
@@ -130,8 +133,8 @@
         cost(
             "entry",
             "digests and questions to assessors",
-            asks * call / 2,
-            f"{asks:.0f} services/s x {call / 2:.0f} us (client's half)",
+            active_services * call / 2,
+            f"{active_services:.0f} services/s x {call / 2:.0f} us (client's half)",
         ),
         cost(
             "assessor (set aside)",
@@ -156,16 +159,16 @@
 
 
 def compute_bytes(slopes: Slopes) -> list[Cost]:
-    """Work out the bytes a second that one node sends for control."""
-    change_rate = CHANGES_A_DAY / DAY_SECONDS
-    asks = SERVICES * HINTED_SERVICES
-    servers = WORKERS / SERVICES
+    """Compute the bytes per second that one instance sends for control."""
+    change_rate = CHANGES_PER_DAY / DAY_SECONDS
+    active_services = SERVICES * ACTIVE_SERVICES_SHARE
+    servers = BACKEND_SERVERS / SERVICES
     digest = slopes["question message"] + servers * slopes["digest message for each server"]
-    keyed = PEAK_REQUESTS * KEYED_SHARE / NODES
+    keyed = PEAK_REQUESTS_PER_SECOND * KEYED_SHARE / INSTANCES
     claim = slopes["claim message"] + slopes["vote message"] + slopes["settlement message"]
-    churn = RESTARTS_A_DAY / DAY_SECONDS * 2
+    churn = RESTARTS_PER_DAY / DAY_SECONDS * 2
     datagrams = slopes["datagrams at rest"] + 4 * churn
-    roster = slopes["roster document for each member"] * NODES * 2 / 900
+    roster = slopes["roster document for each member"] * INSTANCES * 2 / 900
 
     def cost(role: str, what: str, value: float, arithmetic: str) -> Cost:
         return Cost(role, what, value, "B/s", arithmetic)
@@ -184,12 +187,12 @@
             f"{change_rate:.2f} changes/s x ({slopes['record message']:.0f} + {NOTIFIED_PEERS} x"
             " 100) B",
         ),
-        cost("claims", "roster", roster, f"{NODES} x 2 x 47 B in 900 s"),
+        cost("claims", "roster", roster, f"{INSTANCES} x 2 x 47 B in 900 s"),
         cost(
             "entry",
             "digests to assessors",
-            asks * digest,
-            f"{asks:.0f} services/s x {digest:.0f} B",
+            active_services * digest,
+            f"{active_services:.0f} services/s x {digest:.0f} B",
         ),
         cost(
             "claims",
@@ -225,6 +228,6 @@
     slopes = measure_all()
     print_slopes(slopes)
     found = Slopes(slopes)
-    print_costs("Memory for control", compute_memory(found), MEMORY_LIMIT)
-    print_costs("Processor time for control", compute_processor(found), CORE_LIMIT)
-    print_costs("Bytes sent for control", compute_bytes(found), BYTES_LIMIT)
+    print_costs("Memory for control", compute_memory(found), MEMORY_LIMIT_MB)
+    print_costs("Processor time for control", compute_processor(found), CORE_LIMIT_PERCENT)
+    print_costs("Bytes sent for control", compute_bytes(found), BYTES_PER_SECOND_LIMIT)
--- a/packages/lab/src/persimmonusher_lab/claims_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/claims_matrix.py
@@ -1,9 +1,10 @@
-"""The fault matrix of key claims: every message step under every fault, alone and in pairs.
+"""The fault matrix of key claims: every fault and every ordered pair of faults, at random steps.
 
-A small network of registers and claimants runs on virtual time. Each message is a step; a fault is
-laid on one step, or on two. After every step the invariants are checked: at most one token is
-granted for a key, and only the token that was granted may finish. Each case prints its seed, and
-`python -m persimmonusher_lab.claims_matrix --seed N` replays it with its trace.
+A small network of registers and claimants runs on virtual time. Each step delivers up to three
+messages; a fault planned for the step hits the first of them. After every step the invariant is
+checked: at most one token is granted for a key. Each violation is printed with its seed and trace.
+A run of `python -m persimmonusher_lab.claims_matrix` with the same `--first` and `--seeds` repeats
+exactly.
 """
 
 import argparse
@@ -32,7 +33,7 @@
 KEY: Final = "key"
 WINDOW_SECONDS: Final = 600.0
 REGISTERS: Final = 7
-"""Two more than a key's registers, so that a change of roster moves some of them."""
+"""Two more than a key's registers, so that a change of roster replaces some of them."""
 CLAIMANTS: Final = 4
 STORM_FAULTS: Final = 12
 """Faults in a storm: enough that a register and its peers restart during one claim."""
@@ -46,7 +47,7 @@
 
 
 class Fault(Enum):
-    """What happens to the message of one step, or to the register it goes to."""
+    """What happens to one message, or to the register that receives it."""
 
     LOST = "lost"
     DELAYED = "delayed"
@@ -79,7 +80,7 @@
 
 @dataclass
 class Scenario:
-    """One run: registers, claimants, a network, and the faults laid on its steps."""
+    """One run: registers, claimants, a network, and the faults planned for its steps."""
 
     seed: int
     faults: dict[int, Fault]
@@ -105,7 +106,7 @@
         self._frozen: dict[InstanceId, int] = {}
 
     def run(self) -> Violation | None:
-        """Run all steps; return the first broken invariant."""
+        """Run all steps; return the first violation, or None."""
         starts = {self._random.randrange(STEPS // 2): number for number in range(CLAIMANTS)}
         for self._step in range(STEPS):
             self._now += STEP_SECONDS
@@ -141,7 +142,7 @@
         claim_round = self.round_type(request, version)
         self._rounds[token] = claim_round
         self._owners[token] = owner
-        self._note(f"{token} starts under roster {version.version}")
+        self._log(f"{token} starts under roster {version.version}")
         for register in sorted(claim_round.registers):
             self._send(owner, register, request)
 
@@ -168,7 +169,7 @@
             self._messages.remove(message)
             fault = self.faults.pop(self._step, None)
             if self._is_cut(message):
-                self._note(f"cut: {message.sender} to {message.receiver}")
+                self._log(f"cut: {message.sender} to {message.receiver}")
             elif fault is None or self._apply(fault, message):
                 self._receive(message)
                 if fault is Fault.CRASH_AFTER:
@@ -183,8 +184,8 @@
         return any(self._blocked.get(pair, -1) >= self._step for pair in pairs)
 
     def _apply(self, fault: Fault, message: _Message) -> bool:
-        """Lay the fault; return whether the message is still delivered now."""
-        self._note(f"{fault.value} at {message.sender} to {message.receiver}")
+        """Apply the fault; return whether the message is still delivered in this step."""
+        self._log(f"{fault.value} at {message.sender} to {message.receiver}")
         until = self._step + ISOLATION_STEPS
         receiver = message.receiver
         if fault is Fault.LOST:
@@ -219,9 +220,9 @@
         self._registers[name] = self._start_register(name)
         for token, owner in self._owners.items():
             if owner == name:
-                # The claimant's memory is gone too; its grants stay behind at the registers.
+                # A restarted claimant forgets its rounds; its grants remain at the registers.
                 self._rounds.pop(token, None)
-        self._note(f"{name} restarts")
+        self._log(f"{name} restarts")
 
     def _change_roster(self) -> None:
         if self._roster.version > 1:
@@ -231,17 +232,17 @@
         known = {member.instance_id: member for member in self._roster.members}
         members = tuple(known.get(member.instance_id, member) for member in members)
         self._roster = Roster(2, members, self._roster.members)
-        knowing = self._random.sample(self._names, self._random.randint(1, REGISTERS))
-        for name in knowing:
+        informed = self._random.sample(self._names, self._random.randint(1, REGISTERS))
+        for name in informed:
             self._registers[name].replace_roster(self._roster)
-        self._note(f"roster 2 is known to {len(knowing)}")
+        self._log(f"roster 2 is known to {len(informed)}")
 
     def _receive(self, message: _Message) -> None:
         register = self._registers[message.receiver]
         body = message.body
         if isinstance(body, ClaimRequest):
             vote = register.claim(body, self._now)
-            self._note(f"{message.receiver}: {body.token} {vote.kind.value}")
+            self._log(f"{message.receiver}: {body.token} {vote.kind.value}")
             self._send(message.receiver, message.sender, vote)
         elif isinstance(body, Settlement):
             register.settle(body, self._now)
@@ -259,10 +260,10 @@
             status = claim_round.receive(vote)
             if status is RoundStatus.GRANTED:
                 self._granted.add(token)
-                self._note(f"{token} is granted")
+                self._log(f"{token} is granted")
                 self._settle(claim_round, token, self._random.choice(list(RecordState)))
             elif status in (RoundStatus.TAKEN, RoundStatus.NO_QUORUM):
-                self._note(f"{token} gives up: {status.value}")
+                self._log(f"{token} is abandoned: {status.value}")
                 self._rounds.pop(token)
                 self._settle(claim_round, token, None)
 
@@ -272,7 +273,7 @@
         for register in sorted(claim_round.registers):
             self._send(self._owners[token], register, Settlement(KEY, token, state, b"answer"))
 
-    def _note(self, line: str) -> None:
+    def _log(self, line: str) -> None:
         self.trace.append(f"{self._step:3} {line}")
 
 
@@ -287,7 +288,7 @@
 
 
 def make_cases(seeds: Iterable[int]) -> Iterable[tuple[int, dict[int, Fault]]]:
-    """Lay each fault, and each ordered pair of faults, on steps that the seed picks."""
+    """Plan each fault, and each ordered pair of faults, for steps that the seed picks."""
     faults = list(Fault)
     plans: list[tuple[Fault, ...]] = [(fault,) for fault in faults]
     plans.extend(itertools.product(faults, faults))
@@ -298,7 +299,7 @@
 
 
 def make_storms(seeds: Iterable[int]) -> Iterable[tuple[int, dict[int, Fault]]]:
-    """Lay many random faults on each seed's run."""
+    """Plan `STORM_FAULTS` random faults for the run of each seed."""
     for seed in seeds:
         random = Random(seed)
         steps = random.sample(range(STEPS), STORM_FAULTS)
--- a/packages/lab/src/persimmonusher_lab/configuration_measure.py
+++ b/packages/lab/src/persimmonusher_lab/configuration_measure.py
@@ -31,7 +31,7 @@
 
 
 def make_changes(routes: int) -> Iterator[Change]:
-    """Make profiles, then services on them, then routes, like the target's."""
+    """Make changes that create profiles, services that use them, and routes, like the target's."""
     profile = {"preset": "ejection-averse", "deadline_ms": 5_000, "queue_limit": 128}
     number = 0
 
@@ -101,7 +101,7 @@
 
 
 def measure_work(routes: int) -> None:
-    """Measure what each change, pull and look-up costs."""
+    """Measure the processor time of each change, pull and look-up."""
     changes = list(make_changes(routes))
     configuration = Configuration("fleet")
     with measure_time("keeper, apply a change", len(changes)):
@@ -122,7 +122,7 @@
 
 
 def measure_disk(folder: Path | None) -> None:
-    """Measure one synced change on a disk."""
+    """Measure the time and the bytes of one synced change on a disk."""
     changes = list(make_changes(SYNCS))[-SYNCS:]
     with tempfile.TemporaryDirectory(dir=folder) as temporary:
         files = KeeperFiles(Path(temporary) / "keeper")
--- a/packages/lab/src/persimmonusher_lab/demo.py
+++ b/packages/lab/src/persimmonusher_lab/demo.py
@@ -1,8 +1,9 @@
-"""The main job on real processes, once through: every promise shown, with its figure.
+"""The demo: the fleet's main work on real processes, with a check and a figure for every promise.
 
 Six instances, three of them keepers; nine stand-in backend servers of two services under two
-profiles; two loads. While the loads run, one server turns gray, one drains, the leading keeper is
-killed, a profile changes, an entry is resent with its key, and one instance stops gracefully.
+profiles; two loads. While the loads run, one server fails gray (most work fails, its health check
+succeeds), one drains, the leading keeper is killed, a profile changes, an entry is resent with its
+key, and one instance stops gracefully.
 """
 
 import tempfile
@@ -30,30 +31,30 @@
 from persimmonusher_lab.trace_runs import write_marks
 from persimmonusher_lab.watch import FleetWatch
 
-INSTANCES: Final = 6
-KEEPERS: Final = 3
-SERVERS: Final = {"shows": 5, "housing": 4}
+INSTANCE_COUNT: Final = 6
+KEEPER_COUNT: Final = 3
+SERVER_COUNTS: Final = {"shows": 5, "housing": 4}
 LOAD_SECONDS: Final = 26.0
-LOAD_RATE: Final = 60.0
-LOAD_END_SECONDS: Final = 15.0
+LOAD_REQUESTS_PER_SECOND: Final = 60.0
+LOAD_GRACE_SECONDS: Final = 15.0
 
 
 @dataclass
 class DemoRun:
-    """What the demo did and saw, filled in as it goes."""
+    """What the demo did and observed, filled in step by step."""
 
     fleet: Fleet
     reports: list[Path] = field(default_factory=list)
     marks: dict[str, float] = field(default_factory=dict)
-    """When each step happened, CLOCK_MONOTONIC."""
+    """When each step started, by CLOCK_MONOTONIC."""
     results: list[PromiseResult] = field(default_factory=list)
     exit_code: int | None = None
-    """Of the instance that was stopped gracefully."""
+    """The exit code of the instance that was stopped gracefully."""
     killed: str = ""
 
 
 def run_demo(folder: Path | None = None) -> int:
-    """Run the demo and return the exit code: 0 only when every promise held."""
+    """Run the demo and return the exit code: 0 only if every promise held."""
     started = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="persimmonusher-demo-") as scratch:
         work = folder or Path(scratch)
@@ -71,38 +72,38 @@
 
 def _run(folder: Path) -> list[PromiseResult]:
     network = choose_network()
-    instances = plan_instances(network, INSTANCES, KEEPERS)
-    servers = plan_servers(network, SERVERS)
+    instances = plan_instances(network, INSTANCE_COUNT, KEEPER_COUNT)
+    servers = plan_servers(network, SERVER_COUNTS)
     with ProcessRunner(folder) as runner:
         fleet = Fleet(runner, folder, instances, servers)
         run = DemoRun(fleet)
         try:
-            _drive(run)
+            _run_steps(run)
         finally:
             _print_crashes(run)
         return run.results
 
 
-def _drive(run: DemoRun) -> None:
+def _run_steps(run: DemoRun) -> None:
     fleet = run.fleet
-    _step(run, "start", fleet.start_all)
-    _step(run, "configure", lambda: run.results.extend(steps.configure(fleet)))
-    _step(run, "servers known", lambda: steps.wait_for_servers(fleet))
-    _step(run, "entries served", lambda: steps.wait_for_entries(fleet, steps.HOSTS["shows"]))
+    _run_step(run, "start", fleet.start_all)
+    _run_step(run, "configure", lambda: run.results.extend(steps.configure(fleet)))
+    _run_step(run, "servers known", lambda: steps.wait_for_servers(fleet))
+    _run_step(run, "entries served", lambda: steps.wait_for_entries(fleet, steps.HOSTS["shows"]))
     with FleetWatch(fleet.make_client, steps.FLOORS) as watch:
-        loads = steps.start_loads(fleet, LOAD_SECONDS, LOAD_RATE)
+        loads = steps.start_loads(fleet, LOAD_SECONDS, LOAD_REQUESTS_PER_SECOND)
         run.reports.extend(report for _, report in loads)
         time.sleep(4.0)
-        _step(run, "gray", lambda: steps.turn_gray(fleet))
+        _run_step(run, "gray", lambda: steps.turn_gray(fleet))
         time.sleep(5.0)
-        _step(run, "drain", lambda: steps.drain(fleet))
+        _run_step(run, "drain", lambda: steps.drain(fleet))
         time.sleep(2.0)
-        _step(run, "kill", lambda: _kill_leader(run))
-        _step(run, "change", lambda: run.results.extend(steps.change_profile(fleet)))
-        _step(run, "resend", lambda: _resend(run))
-        _step(run, "stop", lambda: _stop_instance(run))
+        _run_step(run, "kill", lambda: _kill_leader(run))
+        _run_step(run, "change", lambda: run.results.extend(steps.change_profile(fleet)))
+        _run_step(run, "resend", lambda: _resend(run))
+        _run_step(run, "stop", lambda: _stop_instance(run))
         for load, _ in loads:
-            load.wait(LOAD_SECONDS + LOAD_END_SECONDS)
+            load.wait(LOAD_SECONDS + LOAD_GRACE_SECONDS)
     tries = read_tries(run.reports)
     records = read_ledgers(fleet.ledgers)
     run.results.extend(steps.check_all(tries, records, watch.observations, run.marks))
@@ -111,9 +112,9 @@
     print_report(tries, records, watch.observations, run.marks, run.results)
 
 
-def _step(run: DemoRun, name: str, act: Callable[[], object]) -> None:
+def _run_step(run: DemoRun, name: str, action: Callable[[], object]) -> None:
     run.marks[name] = time.monotonic()
-    act()
+    action()
     print(f"{name}: {time.monotonic() - run.marks[name]:.2f} s", flush=True)
 
 
--- a/packages/lab/src/persimmonusher_lab/demo_report.py
+++ b/packages/lab/src/persimmonusher_lab/demo_report.py
@@ -1,4 +1,4 @@
-"""What the demo prints at its end."""
+"""The report that the demo prints at its end."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
@@ -39,12 +39,12 @@
 def _print_outcomes(title: str, counts: Mapping[str, Mapping[str, int]]) -> None:
     print(f"\n{title} by outcome")
     for kind, outcomes in counts.items():
-        told = ", ".join(f"{name} {count}" for name, count in sorted(outcomes.items()))
-        print(f"  {kind}: {told or 'none'}")
+        listed = ", ".join(f"{name} {count}" for name, count in sorted(outcomes.items()))
+        print(f"  {kind}: {listed or 'none'}")
 
 
 def describe_latency(tries: Sequence[Try]) -> str:
-    """Return the percentiles of the tries that were answered with a result."""
+    """Return the latency percentiles, in ms, of the tries whose outcome is `RAN`."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for item in tries:
         if item.told is Told.RAN:
--- a/packages/lab/src/persimmonusher_lab/demo_steps.py
+++ b/packages/lab/src/persimmonusher_lab/demo_steps.py
@@ -1,4 +1,4 @@
-"""The steps of the demo and the checks of what came of them."""
+"""The steps of the demo and the checks of their results."""
 
 import itertools
 import json
@@ -24,7 +24,7 @@
     wait_for,
 )
 from persimmonusher_lab.ledger import LedgerRecord
-from persimmonusher_lab.load import REPLAYED, Caller, LoadOptions, Told, Try
+from persimmonusher_lab.load import REPLAYED_DETAIL, Caller, LoadOptions, Told, Try
 from persimmonusher_lab.processes import LabProcess
 from persimmonusher_lab.promises import PromiseResult
 from persimmonusher_lab.watch import Observations, check_floor, check_no_revert
@@ -39,18 +39,22 @@
 GRAY_FAULTS: Final = Faults(fail_percent=80)
 DRAINED_SERVER: Final = "housing-3"
 STOPPED_INSTANCE: Final = "i5"
-SLOW_WORK: Final = 4
+SLOW_REQUESTS: Final = 4
 SLOW_WORK_MS: Final = 1_500.0
-"""Longer than the stop's delay, so that a stop which doesn't wait cuts it off."""
-START_SECONDS: Final = 15.0
+"""Longer than the instance's `stop_delay_seconds`, so that a stop that doesn't wait for requests in
+flight cuts the work off."""
+START_TIMEOUT_SECONDS: Final = 15.0
 IN_FORCE_LIMIT_SECONDS: Final = 8.0
 DRAIN_LIMIT_SECONDS: Final = 3.0
 DETECTION_LIMIT_SECONDS: Final = 3.0
-CTL_SECONDS: Final = 30.0
+CTL_TIMEOUT_SECONDS: Final = 30.0
 
 
 def run_ctl(fleet: Fleet, *arguments: str) -> Any:
-    """Run persimmonusherctl as an operator would and return its JSON; raise on a failure."""
+    """Run persimmonusherctl as an operator would and return its JSON.
+
+    Raise RuntimeError if it fails.
+    """
     running = [item for item in fleet.instances if fleet.processes[item.instance_id].is_running]
     addresses = ",".join(item.at(OPERATORS_PORT) for item in running)
     command = [sys.executable, "-m", "persimmonusher_ctl", "--json", "--addresses", addresses]
@@ -59,7 +63,7 @@
         env={**os.environ, "PERSIMMONUSHERCTL_TOKEN": OPERATOR_TOKEN},
         capture_output=True,
         text=True,
-        timeout=CTL_SECONDS,
+        timeout=CTL_TIMEOUT_SECONDS,
         check=False,
     )
     if done.returncode != 0:
@@ -68,9 +72,14 @@
 
 
 def configure(fleet: Fleet) -> list[PromiseResult]:
-    """Create the profiles, services and routes once the keepers have a leader."""
-    wait_for("a leading keeper", lambda: find_leader(fleet) or None, START_SECONDS, fleet.runner)
-    wait_for("every instance", lambda: _count_instances(fleet) or None, START_SECONDS)
+    """Create the profiles, services and routes once the keepers have a leader.
+
+    The result checks that the revisions of the accepted changes rise.
+    """
+    wait_for(
+        "a leading keeper", lambda: find_leader(fleet) or None, START_TIMEOUT_SECONDS, fleet.runner
+    )
+    wait_for("every instance", lambda: _count_instances(fleet) or None, START_TIMEOUT_SECONDS)
     answers = []
     for service, preset in PROFILES.items():
         route = f"{HOSTS[service]}/"
@@ -79,7 +88,7 @@
             run_ctl(fleet, "services", "put", service, "--profile", service),
             run_ctl(fleet, "routes", "put", route, "--service", service, "--wait", "10"),
         ]
-    # The fleet's own change, the roster, takes a revision somewhere in between.
+    # The fleet's own change of the roster takes a revision too, so these needn't be consecutive.
     revisions = [answer["revision"] for answer in answers]
     held = all(later > earlier for earlier, later in pairwise(revisions))
     figure = ", ".join(str(revision) for revision in revisions)
@@ -92,13 +101,13 @@
 
 
 def find_leader(fleet: Fleet) -> str:
-    """Return the instance that leads the keepers, or an empty string."""
+    """Return the id of the leading keeper, or an empty string if there is none."""
     found = fleet.make_client(2.0).list_keepers().keepers
     return next((item.instance_id for item in found if item.role == "leader"), "")
 
 
 def wait_for_servers(fleet: Fleet) -> None:
-    """Wait until every instance knows every server as ready."""
+    """Wait until every instance lists every server as ready."""
 
     def all_known() -> bool | None:
         found = fleet.make_client(2.0).list_servers("").servers
@@ -106,11 +115,11 @@
         views = min((len(item.views) for item in ready), default=0)
         return (len(ready) == len(fleet.servers) and views == len(fleet.instances)) or None
 
-    wait_for("every server at every instance", all_known, START_SECONDS)
+    wait_for("every server at every instance", all_known, START_TIMEOUT_SECONDS)
 
 
 def wait_for_entries(fleet: Fleet, host: str) -> None:
-    """Wait until an entry with a key is served: the fleet has agreed on its claim registers."""
+    """Wait until an entry with a key is served, which needs the claim registers to be agreed on."""
     options = LoadOptions(tuple(fleet.list_caller_addresses()), host, 1.0, 1.0, seed=98)
     numbers = itertools.count(1)
     with Caller(options, fleet.folder / f"ready-{host}.jsonl") as caller:
@@ -121,7 +130,7 @@
             told = caller.send(f"ready-{number}", True, address, 1, time.monotonic()).told
             return told is Told.RAN or None
 
-        wait_for("a served entry", is_served, START_SECONDS, fleet.runner)
+        wait_for("a served entry", is_served, START_TIMEOUT_SECONDS, fleet.runner)
 
 
 def start_loads(fleet: Fleet, seconds: float, rate: float) -> list[tuple[LabProcess, Path]]:
@@ -131,12 +140,12 @@
 
 
 def turn_gray(fleet: Fleet) -> None:
-    """Make one server fail real work while its health endpoint says well."""
+    """Make one server fail most work while its health endpoint still reports it healthy."""
     fleet.set_faults(GRAY_SERVER, GRAY_FAULTS)
 
 
 def drain(fleet: Fleet) -> None:
-    """Let one server say that it leaves, and go on serving what still comes."""
+    """Let one server announce that it is draining, but go on serving work that still arrives."""
     fleet.set_faults(DRAINED_SERVER, Faults(drains_silently=True))
     fleet.set_state(DRAINED_SERVER, "draining")
 
@@ -151,7 +160,7 @@
     started = time.monotonic()
     first = run_ctl(fleet, *arguments)
     accepted = time.monotonic()
-    wait_for("the change in force", lambda: _in_force(fleet, first["revision"]) or None, 20.0)
+    wait_for("the change in force", lambda: _is_in_force(fleet, first["revision"]) or None, 20.0)
     seconds = time.monotonic() - accepted
     again = run_ctl(fleet, *arguments)
     figure = f"{seconds:.2f} s after accepted (accepting took {accepted - started:.2f} s)"
@@ -165,7 +174,7 @@
     ]
 
 
-def _in_force(fleet: Fleet, revision: int) -> bool:
+def _is_in_force(fleet: Fleet, revision: int) -> bool:
     running = sum(fleet.processes[item.instance_id].is_running for item in fleet.instances)
     found = fleet.make_client(2.0).list_instances().instances
     ahead = [item for item in found if item.answered and item.revision >= revision]
@@ -173,7 +182,7 @@
 
 
 def resend_entry(fleet: Fleet, report: Path, killed: str) -> PromiseResult:
-    """Send one entry, then again with its key through another instance."""
+    """Send one entry, then resend it with its key through another instance."""
     callers = dict(
         zip(
             (item.instance_id for item in fleet.instances),
@@ -181,20 +190,25 @@
             strict=True,
         )
     )
-    alive = [address for name, address in callers.items() if name not in (killed, STOPPED_INSTANCE)]
-    options = LoadOptions(tuple(alive), HOSTS["housing"], 1.0, 1.0, seed=99)
+    usable = [
+        address for name, address in callers.items() if name not in (killed, STOPPED_INSTANCE)
+    ]
+    options = LoadOptions(tuple(usable), HOSTS["housing"], 1.0, 1.0, seed=99)
     with Caller(options, report) as caller:
-        first = caller.send("resent-entry", True, alive[0], 1, time.monotonic())
-        second = caller.send("resent-entry", True, alive[-1], 2, time.monotonic())
+        first = caller.send("resent-entry", True, usable[0], 1, time.monotonic())
+        second = caller.send("resent-entry", True, usable[-1], 2, time.monotonic())
     held = first.told is Told.RAN and second.told is Told.RAN and first.server == second.server
-    held = held and second.detail == REPLAYED
+    held = held and second.detail == REPLAYED_DETAIL
     figure = f"{first.told.value} by {first.server}, then {second.told.value} by {second.server}"
     figure += f" {second.detail}".rstrip()
     return PromiseResult("a resend gets the first run's answer", held, figure)
 
 
 def stop_under_work(fleet: Fleet, report: Path) -> tuple[int | None, PromiseResult]:
-    """Stop an instance by SIGTERM while it holds slow work; return its exit code and a check."""
+    """Stop an instance by SIGTERM while it handles slow requests.
+
+    Return its exit code, and a check that all of these requests were answered.
+    """
     plan = find_plan(fleet, STOPPED_INSTANCE)
     options = LoadOptions(
         (plan.at(CALLERS_PORT),), HOSTS["housing"], 1.0, 1.0, work_ms=SLOW_WORK_MS, seed=97
@@ -208,7 +222,7 @@
             address = options.entries[0]
             told.append(caller.send(f"slow-{number}", is_entry, address, 1, started).told)
 
-        threads = [threading.Thread(target=send, args=(number,)) for number in range(SLOW_WORK)]
+        threads = [threading.Thread(target=send, args=(number,)) for number in range(SLOW_REQUESTS)]
         for thread in threads:
             thread.start()
         time.sleep(SLOW_WORK_MS / 4000)
@@ -218,12 +232,12 @@
             thread.join()
         code = process.wait(20.0)
     ran = told.count(Told.RAN)
-    figure = f"{ran} of {SLOW_WORK} slow requests in flight were answered"
-    return code, PromiseResult("slow work outlives the stop", ran == SLOW_WORK, figure)
+    figure = f"{ran} of {SLOW_REQUESTS} slow requests in flight were answered"
+    return code, PromiseResult("slow work outlives the stop", ran == SLOW_REQUESTS, figure)
 
 
 def find_plan(fleet: Fleet, instance_id: str) -> InstancePlan:
-    """Return the plan of an instance."""
+    """Return the plan of the instance with this id."""
     return next(item for item in fleet.instances if item.instance_id == instance_id)
 
 
@@ -233,7 +247,7 @@
     seen: Observations,
     marks: Mapping[str, float],
 ) -> list[PromiseResult]:
-    """Check what holds for the whole run."""
+    """Check the promises that concern the whole run."""
     return [
         promises.check_whole_answers(tries),
         promises.check_not_run(tries, records),
@@ -263,16 +277,18 @@
 
 def check_shown_reason(seen: Observations, gray_at: float) -> PromiseResult:
     """Check that operators were shown the gray server's ejection with its reason."""
-    shown = [item for item in seen.sightings if item.server_id == GRAY_SERVER and item.reason]
+    shown = [item for item in seen.exclusions if item.server_id == GRAY_SERVER and item.reason]
     if not shown:
-        return PromiseResult("operators see why it is out", False, "never shown")
+        return PromiseResult("operators see why the gray server gets no work", False, "never shown")
     figure = f"{shown[0].at - gray_at:.2f} s at {shown[0].instance_id}: {shown[0].reason}"
-    return PromiseResult("operators see why it is out", shown[0].at > gray_at, figure)
+    return PromiseResult(
+        "operators see why the gray server gets no work", shown[0].at > gray_at, figure
+    )
 
 
 def check_false_ejections(seen: Observations) -> PromiseResult:
-    """Check that no instance kept work from a server that is well."""
-    false = [item for item in seen.sightings if item.server_id != GRAY_SERVER]
+    """Check that no instance withheld work from a healthy server."""
+    false = [item for item in seen.exclusions if item.server_id != GRAY_SERVER]
     servers = sorted({f"{item.server_id} ({item.reason})" for item in false})
     figure = f"{len(servers)} servers {'; '.join(servers[:3])}".rstrip()
     return PromiseResult("no false ejection", not false, figure)
@@ -291,6 +307,6 @@
 
 
 def check_loads(loads: Sequence[tuple[LabProcess, Path]]) -> PromiseResult:
-    """Check that the loads themselves ended well."""
+    """Check that the load processes themselves ended with exit code 0."""
     codes = [process.popen.poll() for process, _ in loads]
     return PromiseResult("the loads ran to their end", set(codes) == {0}, f"exit codes {codes}")
--- a/packages/lab/src/persimmonusher_lab/fleet.py
+++ b/packages/lab/src/persimmonusher_lab/fleet.py
@@ -1,7 +1,7 @@
 """A small fleet of real processes on loopback: instances, stand-in backend servers, operators.
 
-Each process gets an address of its own in 127.0.0.0/8, as the instances of a real fleet do, so
-that runs next to each other don't meet.
+Each process gets an address of its own in 127.0.0.0/8, as the instances of a real fleet do. Each
+run uses a network of its own, so that concurrent runs don't collide.
 """
 
 import json
@@ -26,11 +26,11 @@
 BACKEND_PORT: Final = 8100
 FIRST_BACKEND_HOST: Final = 100
 FOUNDING_INSTANCES: Final = 5
-"""As in the default settings; smaller fleets can't wait for as many."""
+"""The default of the settings. A smaller fleet sets its own size, as it can't wait for as many."""
 PEER_TOKEN: Final = "lab-peers"
 OPERATOR_NAME: Final = "lab"
 OPERATOR_TOKEN: Final = "lab-operator"
-POLL_SECONDS: Final = 0.1
+POLL_INTERVAL_SECONDS: Final = 0.1
 
 Found = TypeVar("Found")
 
@@ -45,7 +45,7 @@
     is_keeper: bool
 
     def at(self, port: int) -> str:
-        """Return its address on a port."""
+        """Return the instance's address on a port."""
         return f"{self.host}:{port}"
 
 
@@ -60,11 +60,14 @@
     service_ms: float = 20.0
     slots: int = 4
     listens_at: str = ""
-    """Its own address where it announces a relay's."""
+    """The address it listens on if the announced one is a relay's; otherwise empty."""
 
 
 def choose_network() -> str:
-    """Return the first two bytes of a part of 127.0.0.0/8 that nobody listens in."""
+    """Return the first three bytes of a random /24 network of 127.0.0.0/8 that isn't in use.
+
+    In use is a network in which `PEERS_PORT` of its first host is bound.
+    """
     chooser = random.SystemRandom()
     while True:
         prefix = f"127.{chooser.randint(16, 250)}.{chooser.randint(1, 250)}"
@@ -77,7 +80,7 @@
 
 
 def plan_instances(network: str, count: int, keepers: int) -> list[InstancePlan]:
-    """Plan instances i1, i2, ... over three failure domains; the first ones are keepers."""
+    """Plan instances i1, i2, ... over three failure domains; the first `keepers` are keepers."""
     return [
         InstancePlan(
             f"i{number}", f"{network}.{number}", "abc"[(number - 1) % 3], number <= keepers
@@ -129,7 +132,7 @@
 
 
 class Fleet:
-    """Starts and steers the processes of one small fleet."""
+    """Starts and controls the processes of one small fleet."""
 
     def __init__(
         self,
@@ -147,7 +150,7 @@
         self.processes: dict[str, LabProcess] = {}
 
     def start_instance(self, plan: InstancePlan) -> None:
-        """Write the instance's settings and start it; also starts it again."""
+        """Write the instance's settings and start it; also restarts one that has ended."""
         settings = self.folder / f"{plan.instance_id}.json"
         document = make_settings(plan, self.instances, self.folder)
         settings.write_text(json.dumps(document, indent=2))
@@ -158,9 +161,10 @@
         )
 
     def start_server(self, plan: ServerPlan) -> None:
-        """Start a stand-in that announces itself to the whole fleet's announcement addresses.
+        """Start a stand-in that announces itself to the announcement addresses of all instances.
 
-        Where `listens_at` differs from the announced address, a relay stands between.
+        If `listens_at` is set, the stand-in listens there, behind a relay that listens on the
+        announced address.
         """
         announce_to = ",".join(item.at(ANNOUNCEMENTS_PORT) for item in self.instances)
         arguments = [plan.server_id, plan.service, plan.address]
@@ -183,7 +187,7 @@
     def start_load(
         self, number: int, host: str, seconds: float, rate: float, deadline_ms: int = 5_000
     ) -> tuple[LabProcess, Path]:
-        """Start a load over all instances; its number seeds it. Return it with its report."""
+        """Start a load over all instances, seeded by its number; return it with its report."""
         report = self.folder / f"load-{number}.jsonl"
         options = {
             "report": report,
@@ -206,13 +210,13 @@
             self.start_server(server)
 
     def make_client(self, seconds: float = 10.0) -> OperatorClient:
-        """Return an operators' client over all instances that run."""
+        """Return an operators' client over all running instances, with a timeout in seconds."""
         running = [item for item in self.instances if self.processes[item.instance_id].is_running]
         addresses = [item.at(OPERATORS_PORT) for item in running]
         return OperatorClient(addresses, OPERATOR_TOKEN, seconds)
 
     def list_caller_addresses(self) -> list[str]:
-        """List where callers may send requests, as the platform's balancer knows it."""
+        """List the instances' addresses for callers, as the platform's balancer knows them."""
         return [item.at(CALLERS_PORT) for item in self.instances]
 
     def set_faults(self, server_id: str, faults: Faults) -> None:
@@ -220,7 +224,7 @@
         self._control(server_id, "/lab/faults", faults.model_dump_json())
 
     def set_state(self, server_id: str, state: str) -> None:
-        """Change what one stand-in says of itself."""
+        """Change the state that one stand-in announces."""
         self._control(server_id, "/lab/state", state)
 
     def _control(self, server_id: str, path: str, body: str) -> None:
@@ -234,13 +238,14 @@
 def wait_for(
     what: str, find: Callable[[], Found | None], seconds: float, runner: ProcessRunner | None = None
 ) -> Found:
-    """Poll until something is found; raise TimeoutError that names it.
+    """Poll until `find` returns neither None nor False, and return its result.
 
-    With a runner, a child that crashed ends the wait at once.
+    Raise TimeoutError that names `what` after `seconds`. With a runner, raise RuntimeError as soon
+    as one of its children has crashed.
     """
-    give_up = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     problem = ""
-    while time.monotonic() < give_up:
+    while time.monotonic() < deadline:
         try:
             found = find()
         except Exception as error:  # the fleet is still starting: the last error is reported
@@ -250,5 +255,5 @@
             return found
         if runner is not None and (crashed := runner.list_crashed()):
             raise RuntimeError(f"{crashed[0].name} crashed while waiting for {what}")
-        time.sleep(POLL_SECONDS)
+        time.sleep(POLL_INTERVAL_SECONDS)
     raise TimeoutError(f"waited {seconds} s for {what}{problem}")
--- a/packages/lab/src/persimmonusher_lab/keeper_measure.py
+++ b/packages/lab/src/persimmonusher_lab/keeper_measure.py
@@ -37,7 +37,7 @@
 
 KEEPERS: Final = 3
 FIRST_PORT: Final = 18_700
-UNUSED: Final = "127.0.0.1:1"
+UNUSED_ADDRESS: Final = "127.0.0.1:1"
 
 
 def make_settings(name: str, port: int, folder: Path) -> Settings:
@@ -47,11 +47,11 @@
         for number in range(KEEPERS)
     )
     listen = Listeners(
-        callers=UNUSED,
-        announcements=UNUSED,
+        callers=UNUSED_ADDRESS,
+        announcements=UNUSED_ADDRESS,
         peers=f"127.0.0.1:{port}",
-        operators=UNUSED,
-        metrics=UNUSED,
+        operators=UNUSED_ADDRESS,
+        metrics=UNUSED_ADDRESS,
     )
     return Settings(
         instance_id=name,
@@ -89,7 +89,7 @@
 
 
 def measure_changes(clients: list[ConfigurationClient], count: int, pause: float) -> None:
-    """Make changes one after the other; print how soon each was accepted and in force."""
+    """Make changes one after the other; print how soon they were accepted and in force."""
     accepted, in_force = [], []
     started, processor = time.perf_counter(), time.process_time()
     for number in range(count):
@@ -116,7 +116,7 @@
     rest: Annotated[float, typer.Option(help="Seconds at rest")] = 10.0,
     pause: Annotated[float, typer.Option(help="Seconds between changes")] = 0.0,
 ) -> None:
-    """Print processor time at rest, and for changes with the time until they are in force."""
+    """Print the processor time at rest and that of changes, and how soon these are in force."""
     names = [f"k{n}" for n in range(KEEPERS)] + [f"e{n}" for n in range(entries)]
     ports = {name: FIRST_PORT + number for number, name in enumerate(names)}
     peers = [f"127.0.0.1:{port}" for port in ports.values()]
--- a/packages/lab/src/persimmonusher_lab/ledger.py
+++ b/packages/lab/src/persimmonusher_lab/ledger.py
@@ -1,7 +1,7 @@
-"""What the stand-in backend servers really ran, written by them and counted apart from the fleet.
+"""Ledgers of what the stand-in backend servers really ran, written by the servers themselves.
 
 Each server appends one JSON line for each phase of a request. The file outlives a killed server,
-so that doubled and lost entries are counted whatever the fleet believes.
+so that doubled and lost entries are counted independently of what the fleet reports.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 class Phase(Enum):
-    """How far a request came at the server."""
+    """How far a request got at the server."""
 
     REFUSED = "refused"
     """It arrived and was certainly not run."""
@@ -37,7 +37,7 @@
     path: str
     request_id: str
     token: str
-    """The load's own mark of the piece of work, the same in each resend."""
+    """The load's identifier of the piece of work, the same in each resend."""
 
 
 class Ledger:
@@ -51,7 +51,7 @@
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def append(self, record: LedgerRecord) -> None:
-        """Write one record; it is with the operating system when this returns."""
+        """Write one record; the operating system has it when this returns."""
         document = {**asdict(record), "phase": record.phase.value}
         os.write(self._file, (json.dumps(document) + "\n").encode())
 
--- a/packages/lab/src/persimmonusher_lab/load.py
+++ b/packages/lab/src/persimmonusher_lab/load.py
@@ -1,8 +1,9 @@
-"""An open-loop load of lookups and entries, with what its callers were told.
+"""An open-loop load of lookups and entries that records the outcome of every try.
 
 Requests start on a fixed schedule whatever the answers, so that a slow fleet can't hide by slowing
-its load. Latency counts from the scheduled start. A caller resends an entry with its key, through
-another instance, for as long as it was not told that it ran, within a bounded number of tries.
+its load. Latency counts from the scheduled start. A caller resends its work, preferably through
+another instance, until a try gives a final outcome, within a bounded number of tries. An entry
+keeps its key.
 """
 
 import json
@@ -23,44 +24,44 @@
 
 
 class Told(Enum):
-    """What one try told the caller."""
+    """The outcome of one try as its caller sees it."""
 
     RAN = "ran"
-    """A whole answer of class 2xx to this very request."""
+    """A whole answer to this very request, with a status below 400."""
     FAILED = "failed"
-    """A whole answer of the server that says it failed."""
+    """An answer with status 400 or above that is marked neither not run nor unknown."""
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
     NO_ANSWER = "no-answer"
-    """The connection to the entry failed: nothing is known."""
+    """The request broke or timed out without an answer: whether the work ran is unknown."""
     WRONG = "wrong"
-    """Cut off, or the answer to another request: a broken promise."""
+    """An answer that is cut off or belongs to another request: a broken promise."""
 
 
 @dataclass(frozen=True)
 class LoadOptions:
-    """One bounded load."""
+    """The settings of one bounded load."""
 
     entries: tuple[str, ...]
     """The entries' caller addresses, as the platform's balancer knows them."""
     host: str
-    """Names the service by its route."""
+    """The Host header, which selects the service by its route."""
     seconds: float
     rate: float
-    """Requests started in each second."""
+    """Requests started per second."""
     entry_percent: int = 30
     caller: str = "lab"
     resends: int = 6
     deadline_ms: int = 5_000
     answer_bytes: int = 200
     work_ms: float | None = None
-    """Service time to ask for; the server's own choice when None."""
+    """Service time to ask for; if None, the server chooses its own."""
     seed: int = 1
 
 
 @dataclass(frozen=True)
 class Try:
-    """One HTTP request of a caller and what it was told."""
+    """One HTTP request of a caller and its outcome."""
 
     started: float
     ended: float
@@ -75,9 +76,9 @@
     detail: str
 
 
-MAX_CONCURRENT: Final = 2_000
-REPLAYED: Final = "replayed"
-"""The detail of an answer that an earlier run of the same key had."""
+MAX_CONCURRENT_REQUESTS: Final = 2_000
+REPLAYED_DETAIL: Final = "replayed"
+"""The `detail` of a try whose answer was replayed from an earlier run with the same key."""
 MAX_RESEND_WAIT_SECONDS: Final = 2.0
 
 
@@ -98,7 +99,7 @@
 
     def run(self) -> None:
         """Start every request on schedule and wait for all of them."""
-        workers = eventlet.GreenPool(MAX_CONCURRENT)
+        workers = eventlet.GreenPool(MAX_CONCURRENT_REQUESTS)
         options = self._options
         first = time.monotonic()
         for number in range(int(options.seconds * options.rate)):
@@ -110,7 +111,10 @@
         workers.waitall()
 
     def follow(self, token: str, is_entry: bool, due: float) -> Try:
-        """Send one piece of work until its caller knows the outcome or gives up."""
+        """Send one piece of work until its outcome is final or its resends are used up.
+
+        Return the last try.
+        """
         tried: set[str] = set()
         started = due
         for number in range(1, self._options.resends + 2):
@@ -169,7 +173,7 @@
             answer.status, answer.headers.get(wire.OUTCOME), answer.data, token
         )
         if wire.REPLAYED in answer.headers:
-            detail = REPLAYED
+            detail = REPLAYED_DETAIL
         return told, answer.status, server, detail
 
     def __enter__(self) -> Self:
@@ -188,7 +192,7 @@
 def judge_answer(
     status: int, outcome: str | None, body: bytes, token: str
 ) -> tuple[Told, str, str]:
-    """Return what an answer tells its caller, the server it names, and a detail."""
+    """Return the outcome that an answer reports, the server that it names, and a detail."""
     if outcome == "not-run":
         return Told.NOT_RUN, "", _find_code(body)
     if outcome == "unknown":
--- a/packages/lab/src/persimmonusher_lab/main.py
+++ b/packages/lab/src/persimmonusher_lab/main.py
@@ -74,7 +74,7 @@
 def rank_losses(
     reports: Annotated[list[Path], typer.Argument(help="Reports that the bench wrote.")],
 ) -> None:
-    """Print what played days lost by cause, the largest first."""
+    """Print what simulated days lost by cause, the largest first."""
     from persimmonusher_lab.worth import describe_losses, read_report
 
     for path in reports:
@@ -85,7 +85,7 @@
 def demo(
     keep: Annotated[Path | None, typer.Option(help="Empty folder to keep reports in.")] = None,
 ) -> None:
-    """Show every promise once on real processes; exits non-zero when one broke."""
+    """Show every promise once on real processes; exits non-zero if one broke."""
     from persimmonusher_lab.demo import run_demo
 
     sys.exit(run_demo(keep))
@@ -124,7 +124,7 @@
     output: Annotated[Path, typer.Option(help="JSON file to write.")] = Path("throughput.json"),
     seconds: Annotated[float, typer.Option(max=120.0, help="Of each load.")] = 4.0,
 ) -> None:
-    """Measure requests a second on one core and the latency added by 1, 3 and 6 instances."""
+    """Measure requests per second on one core and the latency added by 1, 3 and 6 instances."""
     from persimmonusher_lab.throughput import run_throughput
 
     run_throughput(output, seconds)
@@ -154,7 +154,7 @@
     files: list[Path],
     strict: Annotated[bool, typer.Option(help="Compare results that aren't stated too.")] = False,
 ) -> None:
-    """Replay traces; exits non-zero when a stated outcome differs."""
+    """Replay traces; exits non-zero if a stated outcome differs."""
     from persimmonusher_lab.trace import read_trace
     from persimmonusher_lab.trace import replay as replay_trace
 
--- a/packages/lab/src/persimmonusher_lab/membership_checks.py
+++ b/packages/lab/src/persimmonusher_lab/membership_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of membership and the directory after every step of a virtual fleet."""
+"""Invariants of membership and the directory, checked on a virtual fleet."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,15 +8,16 @@
 from persimmonusher_lab.virtual_fleet import GAP_SECONDS, VirtualFleet, VirtualInstance
 from persimmonusher_model.identifiers import ServerId
 
-HEARD_SECONDS: Final = 12.0
-"""Twice the heartbeat timeout: a server that entries heard for so long may be lost nowhere."""
+MIN_HEARD_SECONDS: Final = 12.0
+"""Twice the heartbeat timeout. No instance may hold a server as lost that entries have heard for so
+long and heard lately."""
 MAX_VIOLATIONS: Final = 20
-"""One broken mechanism shows at every later step; the first few say it all."""
+"""One broken mechanism violates a rule at every later step, so only the first few are kept."""
 
 
 @dataclass(frozen=True)
 class Violation:
-    """A rule that was broken, where and when."""
+    """A broken rule, with where and when it was broken."""
 
     now: float
     rule: str
@@ -39,7 +40,7 @@
         fleet.on_step = self.check_step
 
     def check_step(self, instance: VirtualInstance) -> None:
-        """Check that no freshness went back and that no announcing server is lost."""
+        """Check that no freshness went back and that no announcing server is held as lost."""
         self.steps += 1
         changes = (instance.life, instance.fleet.directory.changes)
         if self._checked.get(instance.number) == changes:
@@ -50,13 +51,13 @@
             if record is None:
                 continue
             self._check_freshness(instance, record)
-            heard_long = self._fleet.now - server.heard_since > HEARD_SECONDS
+            heard_long = self._fleet.now - server.heard_since > MIN_HEARD_SECONDS
             heard_lately = self._fleet.now - server.heard_last < GAP_SECONDS
             if record.lost and heard_long and heard_lately:
                 self._report("an announcing server is lost", instance.name, repr(record.version))
 
     def check_members(self) -> None:
-        """Check that each running instance sees exactly the running ones."""
+        """Check that each running instance holds exactly the running instances as live."""
         running = {one.name for one in self._fleet.list_running()}
         for instance in self._fleet.list_running():
             live = set(instance.fleet.members.live)
--- a/packages/lab/src/persimmonusher_lab/membership_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/membership_matrix.py
@@ -1,10 +1,11 @@
 """The fault matrix of membership and the directory: every message kind under every fault.
 
-Each case runs one story on a virtual fleet of six instances in three failure domains with five
-backend servers: an instance restarts, a server drains, stops, and an old announcement of it comes
-late, another server is lost. One or two faults strike on the way, each at the first datagram of its
-kind, or on all datagrams of its kind. Invariants are checked after every step, and at the end all
-must agree. Retentions are scaled down by 2,400, so that a minute stands for hours of isolation.
+Each case runs one script on a virtual fleet of six instances in three failure domains with five
+backend servers: an instance restarts, a server drains and stops, an old announcement of it arrives
+late, another server is lost. One or two faults are injected on the way, each at the first datagram
+of its kind, or on all datagrams of its kind. Invariants are checked after every step, and at the
+end all instances must agree. Retention times are divided by 2,400, so that a minute stands for
+hours of isolation.
 
     python -m persimmonusher_lab.membership_matrix --pairs --seeds 1
     python -m persimmonusher_lab.membership_matrix --case ping/lost+ack/freeze --seed 1
@@ -28,13 +29,13 @@
 
 INSTANCES: Final = 6
 SERVERS: Final = 5
-ARMED_AT: Final = 6.0
-HEALED_AT: Final = 20.0
-ISOLATED_SECONDS: Final = 60.0
+FAULTS_START_SECONDS: Final = 6.0
+FAULTS_END_SECONDS: Final = 20.0
+ISOLATION_SECONDS: Final = 60.0
 CRASH_SECONDS: Final = 2.0
 SETTLE_SECONDS: Final = 20.0
-DRAIN_BOUND: Final = 5.0
-"""A few seconds: with two of six entries cut off, the first announcements may go to these."""
+DRAIN_LIMIT_SECONDS: Final = 5.0
+"""A few seconds: with two of six entries cut off, the first announcements may go to these two."""
 LIMITS: Final = MembershipLimits(
     dead_retention=18.0,
     stopped_retention=36.0,
@@ -44,7 +45,7 @@
     seed_interval=4.0,
     summary_bytes=96,
 )
-"""Summaries hold six records, so that exchanges of digests take part as well."""
+"""A summary holds only six records, so that digests are exchanged as well."""
 
 
 class Effect(Enum):
@@ -83,8 +84,8 @@
     Effect.REORDERED: Reordered,
 }
 LINK_PROBABILITY: Final = {"heartbeat/lost": 0.5}
-"""All datagrams of the kind are hit but for these: with every heartbeat lost, a server that lives
-can't be told from one that doesn't."""
+"""The probability that a link fault hits a datagram of its kind, where it isn't 1: with every
+heartbeat lost, a live server can't be distinguished from a dead one."""
 
 
 @dataclass(frozen=True)
@@ -106,33 +107,33 @@
     seed: int
     steps: int
     fired: int
-    """Faults that struck; a kind may never have been sent."""
+    """Number of faults that took effect; datagrams of a kind may never have been sent."""
     drain_seconds: float | None
     violations: tuple[Violation, ...]
 
 
 @dataclass
 class MatrixCase:
-    """One run of the story under some faults."""
+    """One run of the script under some faults."""
 
     faults: tuple[MatrixFault, ...]
     seed: int
     trace: bool = False
     struck: dict[MatrixFault, int] = field(default_factory=dict)
-    """Each fault that struck, with the instance it struck, -1 for a fault of links."""
+    """Each fault that took effect, with the number of the instance it hit; -1 for a link fault."""
 
     @property
     def name(self) -> str:
-        """Return the name that `--case` takes."""
+        """Return the case's name, as `--case` accepts it."""
         return "+".join(str(fault) for fault in self.faults)
 
     def run(self) -> CaseResult:
-        """Run the story and check it."""
+        """Run the script and check the fleet on the way and at its end."""
         self._fleet = VirtualFleet(INSTANCES, self.seed, limits=LIMITS, loss=0.02)
         self._checker = FleetChecker(self._fleet)
         self._servers = [self._fleet.add_server(f"worker-{n}") for n in range(SERVERS)]
-        self._fleet.run(ARMED_AT)
-        self._arm()
+        self._fleet.run(FAULTS_START_SECONDS)
+        self._install_faults()
         self._fleet.run(1.0)
         self._fleet.crash(5)
         self._fleet.run(0.5)
@@ -140,10 +141,10 @@
         self._fleet.run(0.5)
         drained = self._drain(self._servers[0])
         self._lose(self._servers[1])
-        self._fleet.run(max(0.0, HEALED_AT - self._fleet.now))
+        self._fleet.run(max(0.0, FAULTS_END_SECONDS - self._fleet.now))
         if any(fault.effect is Effect.ISOLATED for fault in self.faults):
-            self._fleet.run(ISOLATED_SECONDS)
-        self._heal()
+            self._fleet.run(ISOLATION_SECONDS)
+        self._remove_faults()
         self._fleet.run(SETTLE_SECONDS)
         self._check_end()
         violations = tuple(self._checker.violations)
@@ -151,16 +152,19 @@
         return CaseResult(self.name, self.seed, steps, len(self.struck), drained, violations)
 
     def _drain(self, server: VirtualServer) -> float | None:
-        """Let a server drain and stop, with an announcement of before that comes late."""
+        """Let a server drain and stop, with an older announcement that arrives after each.
+
+        Return the seconds until all unaffected instances knew of the drain, or None.
+        """
         fleet = self._fleet
         ready = server.record
         fleet.tell(server, ServerState.DRAINING, entry=1)
         fleet.run(0.3)
         fleet.deliver(ready, 2)
-        took = fleet.run_until(lambda: self._all_know_drain(server), DRAIN_BOUND)
+        took = fleet.run_until(lambda: self._all_know_drain(server), DRAIN_LIMIT_SECONDS)
         if took is None:
-            out = self._list_struck()
-            self._checker.check_state(server.record.server_id, ServerState.DRAINING, out)
+            affected = self._list_affected()
+            self._checker.check_state(server.record.server_id, ServerState.DRAINING, affected)
         fleet.run(max(0.0, 13.5 - fleet.now))
         server.announcing = False
         fleet.tell(server, ServerState.STOPPED, entry=0)
@@ -174,7 +178,7 @@
         server.announcing = False
 
     def _all_know_drain(self, server: VirtualServer) -> bool:
-        left_out = self._list_struck()
+        left_out = self._list_affected()
         records = [
             one.fleet.directory.find(server.record.server_id)
             for one in self._fleet.list_running()
@@ -182,8 +186,8 @@
         ]
         return all(record and record.state >= ServerState.DRAINING for record in records)
 
-    def _list_struck(self) -> set[int]:
-        """List the instances that a fault struck, and the one that restarted."""
+    def _list_affected(self) -> set[int]:
+        """List the instances that a fault hit, and the one that restarted."""
         return {number for number in self.struck.values() if number >= 0} | {5}
 
     def _check_end(self) -> None:
@@ -194,18 +198,18 @@
         for server in self._servers[2:]:
             self._checker.check_listed(server.record.server_id)
 
-    def _arm(self) -> None:
+    def _install_faults(self) -> None:
         fleet = self._fleet
         self._crashed: list[int] = []
         for fault in self.faults:
             link = LINK_EFFECTS.get(fault.effect)
             if link is not None:
                 fleet.faults.append(link(KINDS[fault.kind], LINK_PROBABILITY.get(str(fault), 1.0)))
-        fleet.on_send = self._note_send
-        fleet.before_receive = self._strike_before
-        fleet.after_receive = self._strike_after
+        fleet.on_send = self._record_send
+        fleet.before_receive = self._inject_before
+        fleet.after_receive = self._inject_after
 
-    def _heal(self) -> None:
+    def _remove_faults(self) -> None:
         fleet = self._fleet
         fleet.heal()
         fleet.before_receive = fleet.after_receive = lambda instance, envelope: None
@@ -216,7 +220,7 @@
             if not fleet.instances[number].running:
                 fleet.restart(number)
 
-    def _note_send(self, instance: VirtualInstance, envelope: messages.Envelope) -> None:
+    def _record_send(self, instance: VirtualInstance, envelope: messages.Envelope) -> None:
         for fault in self.faults:
             if fault.effect in LINK_EFFECTS and isinstance(envelope.body, KINDS[fault.kind]):
                 self.struck.setdefault(fault, -1)
@@ -225,25 +229,25 @@
             updates = " ".join(f"{u.key}@{u.version}" for u in envelope.updates)
             print(f"{self._fleet.now:8.3f} {instance.name} {body[:90]} {updates}")
 
-    def _strike_before(self, instance: VirtualInstance, envelope: messages.Envelope) -> None:
-        self._strike(instance, envelope, after=False)
+    def _inject_before(self, instance: VirtualInstance, envelope: messages.Envelope) -> None:
+        self._inject(instance, envelope, after=False)
 
-    def _strike_after(self, instance: VirtualInstance, envelope: messages.Envelope) -> None:
-        self._strike(instance, envelope, after=True)
+    def _inject_after(self, instance: VirtualInstance, envelope: messages.Envelope) -> None:
+        self._inject(instance, envelope, after=True)
 
-    def _strike(self, instance: VirtualInstance, envelope: messages.Envelope, after: bool) -> None:
+    def _inject(self, instance: VirtualInstance, envelope: messages.Envelope, after: bool) -> None:
         for fault in self.faults:
             is_after = fault.effect is Effect.CRASH_AFTER
             if fault.effect in LINK_EFFECTS or fault in self.struck or is_after is not after:
                 continue
             if isinstance(envelope.body, KINDS[fault.kind]):
                 self.struck[fault] = instance.number
-                self._hit(instance.number, fault.effect)
+                self._apply_effect(instance.number, fault.effect)
 
-    def _hit(self, number: int, effect: Effect) -> None:
+    def _apply_effect(self, number: int, effect: Effect) -> None:
         fleet = self._fleet
         if self.trace:
-            print(f"{fleet.now:8.3f} entry-{number} struck by {effect.value}")
+            print(f"{fleet.now:8.3f} entry-{number} hit by {effect.value}")
         others = [other for other in range(INSTANCES) if other != number]
         match effect:
             case Effect.CUT_OUTGOING:
@@ -265,7 +269,7 @@
 
 
 def list_cases(pairs: bool, seeds: Iterable[int], every: int = 1) -> Iterator[MatrixCase]:
-    """List the cases of single faults, or of pairs; of pairs, every so many-th only."""
+    """List the cases of single faults, or every n-th case of pairs of faults, for each seed."""
     faults = list_faults()
     chosen: Iterable[tuple[MatrixFault, ...]] = (
         itertools.islice(itertools.combinations(faults, 2), 0, None, every)
@@ -277,14 +281,14 @@
 
 
 def parse_case(name: str, seed: int) -> MatrixCase:
-    """Return the case of a name, with its trace on."""
+    """Return the case of this name, set to print its trace."""
     parts = [part.split("/") for part in name.split("+")]
     faults = tuple(MatrixFault(kind, Effect(effect)) for kind, effect in parts)
     return MatrixCase(faults, seed, trace=True)
 
 
 def run_case(case: MatrixCase) -> CaseResult:
-    """Run one case; for worker processes."""
+    """Run one case; worker processes can call this by its name."""
     return case.run()
 
 
@@ -310,7 +314,7 @@
     """Run the matrix, or replay one case with its trace."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("--pairs", action="store_true")
-    parser.add_argument("--every", type=int, default=1, help="of the pairs, every so many-th")
+    parser.add_argument("--every", type=int, default=1, help="run only every n-th pair")
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--processes", type=int, default=2)
     parser.add_argument("--case")
--- a/packages/lab/src/persimmonusher_lab/membership_measure.py
+++ b/packages/lab/src/persimmonusher_lab/membership_measure.py
@@ -4,8 +4,8 @@
 
 Sizes in bytes are of sealed datagrams plus 28 for the headers of IP and UDP. Churn is the target's:
 15,400 restarts of instances and as many of backend servers a day at 2,500 instances, in proportion
-at other sizes; the servers are few, as 110,000 records in each of 2,500 stores fit no machine, so
-heartbeats are left out here and counted by `choose_stride`.
+at other sizes. There are only a few servers, since no machine holds 110,000 records in each of
+2,500 stores; so heartbeats are left out here, and `choose_stride` accounts for them.
 """
 
 import argparse
@@ -36,10 +36,10 @@
 RESTARTS_PER_DAY: Final = 15_400
 DAY_SECONDS: Final = 86_400
 CHURN_SERVERS: Final = 40
-SAMPLE_EVERY: Final = 7
-"""One datagram of so many is really sealed and counted for all."""
-BENCH_ENVELOPES: Final = 2000
-DOMAINS: Final = 8
+DATAGRAMS_PER_SAMPLE: Final = 7
+"""One datagram in this many is really sealed, and its size stands for all of them."""
+MAX_TIMED_ENVELOPES: Final = 2000
+FAILURE_DOMAINS: Final = 8
 
 
 @dataclass(frozen=True)
@@ -52,18 +52,18 @@
 
 @dataclass(frozen=True)
 class Spread:
-    """Seconds until a change is known to all, over several changes, at one rate of loss."""
+    """Seconds until all instances know a change, over several changes, at one rate of loss."""
 
     loss: float
     median: float
     worst: float
     missed: int
-    """Changes that did not reach all within the limit."""
+    """Changes that did not reach all instances within the limit."""
 
 
 @dataclass(frozen=True)
 class Suspicions:
-    """What loss makes instances believe of healthy ones."""
+    """How often healthy instances are suspected or declared dead at one rate of loss."""
 
     loss: float
     suspected_per_instance_hour: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class SizeReport:
-    """All measures at one size of the fleet."""
+    """All measurements at one size of the fleet."""
 
     instances: int
     at_rest: Traffic
@@ -97,7 +97,7 @@
         fleet.on_send = self.note
 
     def reset(self) -> None:
-        """Start to count anew."""
+        """Restart the counts at zero."""
         self._since = self._fleet.now
         self._count = 0
         self._sampled = 0
@@ -108,10 +108,10 @@
         """Count a datagram."""
         self._count += 1
         self.kinds[type(envelope.body).__name__] += 1
-        if self._count % SAMPLE_EVERY == 0:
+        if self._count % DATAGRAMS_PER_SAMPLE == 0:
             self._sampled += 1
             self._bytes += len(self._codec.seal(envelope)) + HEADER_BYTES
-            if len(self.envelopes) < BENCH_ENVELOPES:
+            if len(self.envelopes) < MAX_TIMED_ENVELOPES:
                 self.envelopes.append(envelope)
 
     def read(self) -> Traffic:
@@ -122,9 +122,9 @@
 
 
 def start_fleet(size: int, seed: int, loss: float = 0.0) -> VirtualFleet:
-    """Return a settled fleet without the watch for silent servers."""
+    """Return a settled fleet in which the check for silent servers never falls due."""
     limits = MembershipLimits(silence_interval=1e9)
-    fleet = VirtualFleet(size, seed, domains=DOMAINS, limits=limits, loss=loss)
+    fleet = VirtualFleet(size, seed, domains=FAILURE_DOMAINS, limits=limits, loss=loss)
     fleet.introduce_all()
     fleet.run(3.0)
     return fleet
@@ -156,7 +156,7 @@
 
 
 def measure_spread(size: int, loss: float, changes: int) -> Spread:
-    """Tell one entry of a drain, several times, and wait until all know it."""
+    """Announce a drain to one entry, `changes` times, and wait each time until all know it."""
     fleet = start_fleet(size, seed=11, loss=loss)
     servers = [fleet.add_server(f"worker-{n}") for n in range(changes)]
     fleet.run(5.0)
@@ -181,7 +181,7 @@
 
 
 def measure_suspicions(size: int, loss: float, seconds: float) -> Suspicions:
-    """Let a healthy fleet run under loss and count what it believes of its instances."""
+    """Run a healthy fleet under loss; count the suspected instances and those declared dead."""
     fleet = start_fleet(size, seed=12, loss=loss)
     fleet.run(seconds)
     suspected = sum(one.fleet.members.suspected_count for one in fleet.instances)
@@ -191,7 +191,7 @@
 
 
 def measure_size(size: int, seconds: float) -> SizeReport:
-    """Take all measures at one size."""
+    """Take all measurements at one size of the fleet."""
     fleet = start_fleet(size, seed=10)
     meter = TrafficMeter(fleet)
     fleet.run(seconds)
@@ -200,20 +200,20 @@
     meter.reset()
     meter.envelopes.clear()
     churn(fleet, seconds)
-    busy = meter.read()
-    print(f"  churn {busy} {dict(meter.kinds)}", flush=True)
+    churn_traffic = meter.read()
+    print(f"  churn {churn_traffic} {dict(meter.kinds)}", flush=True)
     changes = 5 if size > 1000 else 100
     spread = [measure_spread(size, loss, changes) for loss in (0.0, 0.01, 0.05, 0.2)]
     suspicions = [measure_suspicions(size, loss, seconds * 2) for loss in (0.01, 0.05)]
     costs = measure_costs(fleet, meter.envelopes)
-    share = (busy.datagrams_per_second * sum(costs[:3]) + 10 * costs[3]) / 1e6
-    return SizeReport(size, at_rest, busy, spread, suspicions, *costs, share)
+    share = (churn_traffic.datagrams_per_second * sum(costs[:3]) + 10 * costs[3]) / 1e6
+    return SizeReport(size, at_rest, churn_traffic, spread, suspicions, *costs, share)
 
 
 def measure_costs(
     fleet: VirtualFleet, envelopes: list[Envelope]
 ) -> tuple[float, float, float, float]:
-    """Return the microseconds to seal, to open and to take a datagram, and of one tick."""
+    """Return the microseconds to seal, to open and to handle a datagram, and of one tick."""
     codec = MembershipCodec("token")
     started = time.process_time()
     datagrams = [codec.seal(envelope) for envelope in envelopes]
@@ -223,7 +223,7 @@
     instance = fleet.instances[0]
     for envelope in opened:
         instance.fleet.receive(envelope, fleet.address(1), fleet.now)
-    taken = time.process_time()
+    received = time.process_time()
     for step in range(1000):
         instance.fleet.tick(fleet.now + step / 10)
     ticked = time.process_time()
@@ -231,8 +231,8 @@
     return (
         (sealed - started) / count,
         (parsed - sealed) / count,
-        (taken - parsed) / count,
-        (ticked - taken) / 1000 * 1e6,
+        (received - parsed) / count,
+        (ticked - received) / 1000 * 1e6,
     )
 
 
@@ -281,7 +281,7 @@
 
 
 def main() -> int:
-    """Measure the sizes asked for and write the report."""
+    """Measure the fleet sizes of `--sizes` and write the report."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="48,250")
     parser.add_argument("--seconds", type=float, default=60.0)
--- a/packages/lab/src/persimmonusher_lab/processes.py
+++ b/packages/lab/src/persimmonusher_lab/processes.py
@@ -1,7 +1,7 @@
 """Starts the processes of a demo or test and ends exactly those, whatever happens.
 
 Each child gets its own session, so that Ctrl-C reaches only the runner, which then ends its
-children in order. A child is also told by the kernel to end when the runner itself is killed.
+children in order. If the runner itself is killed, the kernel kills its children.
 """
 
 import ctypes
@@ -17,14 +17,14 @@
 from typing import Final, Self
 
 PR_SET_PDEATHSIG: Final = 1
-END_SECONDS: Final = 5.0
-TAIL_LINES: Final = 12
+STOP_TIMEOUT_SECONDS: Final = 5.0
+LOG_TAIL_LINES: Final = 12
 _LIBC: Final = ctypes.CDLL(None)
 
 
 @dataclass(frozen=True)
 class LabProcess:
-    """One child, its command line's meaning and its log."""
+    """One child process, with its name and its log file."""
 
     name: str
     popen: "subprocess.Popen[bytes]"
@@ -32,7 +32,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the child has not ended yet."""
+        """Return whether the child has not ended yet."""
         return self.popen.poll() is None
 
     def send(self, number: signal.Signals) -> None:
@@ -40,16 +40,16 @@
         self.popen.send_signal(number)
 
     def wait(self, seconds: float) -> int | None:
-        """Wait for the end; return the exit code, or None when it still runs."""
+        """Wait up to `seconds` for the end; return the exit code, or None if it still runs."""
         try:
             return self.popen.wait(seconds)
         except subprocess.TimeoutExpired:
             return None
 
     def read_tail(self) -> str:
-        """Return the last lines of its log."""
+        """Return the last lines of the child's log."""
         lines = self.log.read_text(errors="replace").splitlines()
-        return "\n".join(lines[-TAIL_LINES:])
+        return "\n".join(lines[-LOG_TAIL_LINES:])
 
 
 class ProcessRunner:
@@ -65,7 +65,7 @@
         self._previous = signal.getsignal(signal.SIGTERM)
 
     def start(self, name: str, arguments: Sequence[str]) -> LabProcess:
-        """Start `python -m ARGUMENTS...` and keep it."""
+        """Start `python -m ARGUMENTS...` as a child, with its output appended to `NAME.log`."""
         log = self._folder / f"{name}.log"
         with log.open("ab") as output:
             popen = subprocess.Popen(
@@ -81,7 +81,7 @@
         return child
 
     def list_crashed(self, expected: Sequence[LabProcess] = ()) -> list[LabProcess]:
-        """List children that ended with an error and weren't meant to."""
+        """List children that ended with an error, except the expected ones."""
         return [
             child
             for child in self._children
@@ -89,19 +89,19 @@
         ]
 
     def end_all(self) -> None:
-        """Ask every child to end, then kill those that didn't."""
+        """Send SIGCONT and SIGTERM to every running child, then kill those that are too slow."""
         running = [child for child in self._children if child.is_running]
         for child in running:
             child.send(signal.SIGCONT)
             child.send(signal.SIGTERM)
-        give_up = time.monotonic() + END_SECONDS
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for child in running:
-            if child.wait(max(0.0, give_up - time.monotonic())) is None:
+            if child.wait(max(0.0, deadline - time.monotonic())) is None:
                 child.send(signal.SIGKILL)
-                child.wait(END_SECONDS)
+                child.wait(STOP_TIMEOUT_SECONDS)
 
     def __enter__(self) -> Self:
-        signal.signal(signal.SIGTERM, _leave)
+        signal.signal(signal.SIGTERM, _exit_on_signal)
         return self
 
     def __exit__(
@@ -121,5 +121,5 @@
         os._exit(1)
 
 
-def _leave(number: int, frame: FrameType | None) -> None:
+def _exit_on_signal(number: int, frame: FrameType | None) -> None:
     raise SystemExit(128 + number)
--- a/packages/lab/src/persimmonusher_lab/promises.py
+++ b/packages/lab/src/persimmonusher_lab/promises.py
@@ -1,4 +1,4 @@
-"""Checks of the promises over what callers were told and what the servers really ran."""
+"""Checks of the fleet's promises: callers' outcomes against what the servers really ran."""
 
 from bisect import bisect_right
 from collections import Counter
@@ -11,10 +11,11 @@
 
 DETECTION_WINDOW_SECONDS: Final = 1.0
 QUIET_WINDOWS: Final = 4
-"""Windows in a row that must be quiet: in one alone a server may get nothing by chance."""
+"""Consecutive windows without work, since a server may get nothing in a single one by chance. Not
+read by `find_detection_seconds`, which decides on one window."""
 DETECTED_SHARE: Final = 0.2
-"""Below this share of its peers' mean a server counts as no longer receiving work; readmission
-probes stay below it."""
+"""A server that receives less than this share of its peers' mean counts as detected; readmission
+probes alone stay below it."""
 
 
 @dataclass(frozen=True)
@@ -34,7 +35,7 @@
 
 
 def check_not_run(tries: Sequence[Try], records: Sequence[LedgerRecord]) -> PromiseResult:
-    """Check that no request that was told not run was run."""
+    """Check that no request that its caller was answered as not run was run."""
     begun = {record.request_id for record in records if record.phase is Phase.BEGUN}
     told = [item for item in tries if item.told is Told.NOT_RUN]
     false = [item.request_id for item in told if item.request_id in begun]
@@ -52,7 +53,7 @@
 
 
 def check_not_lost(tries: Sequence[Try], records: Sequence[LedgerRecord]) -> PromiseResult:
-    """Check that no entry that its caller was told is done is missing at the servers."""
+    """Check that a server finished each entry that was reported to its caller as done."""
     done = {record.token for record in records if record.phase is Phase.DONE}
     told = {item.token for item in tries if item.is_entry and item.told is Told.RAN}
     lost = sorted(told - done)
@@ -63,7 +64,7 @@
 def check_drain(
     records: Sequence[LedgerRecord], server: str, drained_at: float, limit_seconds: float
 ) -> PromiseResult:
-    """Check that a leaving server receives nothing once a few seconds have passed."""
+    """Check that a draining server receives no work later than `limit_seconds` after it said so."""
     arrivals = [
         record.at - drained_at
         for record in records
@@ -84,7 +85,7 @@
     stopped_at: float,
     exit_code: int | None,
 ) -> PromiseResult:
-    """Check that a graceful shutdown cut off no request in flight."""
+    """Check that a graceful shutdown cut off no request in flight and exited with code 0."""
     begun = {record.request_id for record in records if record.phase is Phase.BEGUN}
     cut = [
         item.request_id
@@ -101,11 +102,11 @@
 def find_detection_seconds(
     records: Sequence[LedgerRecord], server: str, peers: Collection[str], failed_at: float
 ) -> float | None:
-    """Return the time until the server stopped receiving its share; None when it never did.
+    """Return the seconds until the server stopped receiving its share; None if it never did.
 
-    That is the last arrival in the first window in which it received less than `DETECTED_SHARE` of
-    its peers' mean: an upper bound, since the last one may be a probe. The window is long enough
-    that a moment of luck doesn't count as detection.
+    That is the time of its last arrival up to the end of the first window in which it received
+    less than `DETECTED_SHARE` of its peers' mean. It is an upper bound, since the last arrival may
+    be a readmission probe. The window is long enough that a short lull isn't taken for detection.
     """
     arrivals = [
         (record.at - failed_at, record.server)
@@ -129,7 +130,7 @@
 
 
 def count_outcomes(tries: Sequence[Try]) -> Mapping[str, Counter[str]]:
-    """Count tries by kind of work and by what the caller was told."""
+    """Count tries by kind of work and by the outcome that the caller saw."""
     counts: dict[str, Counter[str]] = {"lookup": Counter(), "entry": Counter()}
     for item in tries:
         counts["entry" if item.is_entry else "lookup"][item.told.value] += 1
@@ -137,6 +138,6 @@
 
 
 def count_final_outcomes(tries: Sequence[Try]) -> Mapping[str, Counter[str]]:
-    """Count pieces of work by what the caller was told last."""
+    """Count pieces of work by kind and by the outcome of their last try."""
     last = {item.token: item for item in sorted(tries, key=lambda item: item.number)}
     return count_outcomes(list(last.values()))
--- a/packages/lab/src/persimmonusher_lab/relay.py
+++ b/packages/lab/src/persimmonusher_lab/relay.py
@@ -1,7 +1,8 @@
 """A small TCP relay that can cut connections, one way or both, or delay them.
 
-A cut drops bytes silently, as a one-way partition does: connections stay open and nobody is told.
-It stands before a backend server or an entry that announces the relay's address as its own.
+A cut drops bytes silently, as a one-way partition does: connections stay open and neither
+side sees an error. The relay is placed in front of a backend server or an entry that announces the
+relay's address as its own.
 """
 
 import asyncio
@@ -13,19 +14,19 @@
 from typing import Any, Final, Self, TypeVar
 
 CHUNK_BYTES: Final = 65_536
-START_SECONDS: Final = 5.0
+CALL_TIMEOUT_SECONDS: Final = 5.0
 
 T = TypeVar("T")
 
 
 class Cut(Enum):
-    """Which way bytes are dropped."""
+    """The direction in which bytes are dropped."""
 
     NONE = "none"
     TO_TARGET = "to-target"
     """Requests are lost."""
     TO_SOURCE = "to-source"
-    """Answers are lost: the target runs what the source hears nothing of."""
+    """Answers are lost: the target runs requests whose answers never reach the source."""
     BOTH = "both"
 
 
@@ -41,7 +42,7 @@
         self.target = target
         self.cut = Cut.NONE
         self.delay_seconds = delay_seconds
-        """Added one way to each chunk of bytes."""
+        """Delay added to each chunk of bytes, in each direction."""
         self.dropped_bytes = 0
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
@@ -66,11 +67,11 @@
     ) -> None:
         self._call(self._stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(START_SECONDS)
+        self._thread.join(CALL_TIMEOUT_SECONDS)
         self._loop.close()
 
     def _call(self, coroutine: Coroutine[Any, Any, T]) -> T:
-        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(START_SECONDS)
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(CALL_TIMEOUT_SECONDS)
 
     async def _start(self) -> None:
         host, _, port = self.listen.rpartition(":")
@@ -107,29 +108,29 @@
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, target_writer}
-        self._writers |= both
+        writers = {writer, target_writer}
+        self._writers |= writers
         try:
             await asyncio.gather(
                 self._pump(reader, target_writer, Cut.TO_TARGET),
                 self._pump(target_reader, writer, Cut.TO_SOURCE),
             )
         finally:
-            self._writers -= both
-            for each in both:
+            self._writers -= writers
+            for each in writers:
                 each.transport.abort()
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Cut
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Cut
     ) -> None:
         with suppress(OSError):
             while chunk := await reader.read(CHUNK_BYTES):
                 if self.delay_seconds:
                     await asyncio.sleep(self.delay_seconds)
-                if self.cut in (way, Cut.BOTH):
+                if self.cut in (direction, Cut.BOTH):
                     self.dropped_bytes += len(chunk)
                     continue
                 writer.write(chunk)
                 await writer.drain()
-            if self.cut not in (way, Cut.BOTH) and writer.can_write_eof():
+            if self.cut not in (direction, Cut.BOTH) and writer.can_write_eof():
                 writer.write_eof()
--- a/packages/lab/src/persimmonusher_lab/slopes.py
+++ b/packages/lab/src/persimmonusher_lab/slopes.py
@@ -1,7 +1,8 @@
 """Slopes: what one more object, message or decision costs, measured on this machine.
 
-Each slope is a plain figure with its unit. Times are the least of several batches, since other work
-on the machine only ever adds; memory is what the interpreter allocates between two sizes.
+Each slope is a plain figure with its unit. Times are the minimum of several batches, since other
+work on the machine can only add to them; memory is what the interpreter allocates between two
+sizes.
 """
 
 import gc
@@ -12,7 +13,7 @@
 from typing import Final
 
 BATCHES: Final = 5
-MICRO: Final = 1e6
+MICROSECONDS_PER_SECOND: Final = 1e6
 
 
 @dataclass(frozen=True)
@@ -23,26 +24,26 @@
     value: float
     unit: str
     how: str
-    """What was measured, for the page's reader."""
+    """What was measured, in words for the printed table."""
 
 
-def measure_time(act: Callable[[int], object], count: int) -> float:
-    """Return the microseconds of processor time that one call of `act` takes."""
+def measure_time(action: Callable[[int], object], count: int) -> float:
+    """Return the microseconds of processor time that one call of `action` takes."""
     best = float("inf")
     for batch in range(BATCHES):
         started = time.process_time()
         for number in range(count):
-            act(batch * count + number)
+            action(batch * count + number)
         best = min(best, time.process_time() - started)
-    return best / count * MICRO
+    return best / count * MICROSECONDS_PER_SECOND
 
 
 def measure_bytes(build: Callable[[int], object], small: int, large: int) -> float:
     """Return the bytes held for each further object between two sizes."""
-    return (_hold(build, large) - _hold(build, small)) / (large - small)
+    return (_measure_held_bytes(build, large) - _measure_held_bytes(build, small)) / (large - small)
 
 
-def _hold(build: Callable[[int], object], size: int) -> int:
+def _measure_held_bytes(build: Callable[[int], object], size: int) -> int:
     build(1)
     gc.collect()
     tracemalloc.start()
--- a/packages/lab/src/persimmonusher_lab/slopes_calls.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_calls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from persimmonusher_lab.slopes import MICRO, Slope
+from persimmonusher_lab.slopes import MICROSECONDS_PER_SECOND, Slope
 from persimmonusher_lab.slopes_claims import make_register, make_request, make_roster
 from persimmonusher_node.claims import RegisterService
 from persimmonusher_node.claims_link import ClaimsLink
@@ -18,12 +18,12 @@
 from persimmonusher_protocol.claims_grpc import ClaimsStub
 
 CALLS = 2_000
-TOGETHER = 10
+CONCURRENT_CLAIMS = 10
 TOKEN = "measure"
 
 
 def measure_calls() -> list[Slope]:
-    """Measure calls over gRPC on loopback; needs the loop installed."""
+    """Measure calls over gRPC on loopback; requires `loop.install()` before."""
     address = f"127.0.0.1:{_find_port()}"
     service = RegisterService(make_register(make_roster(5)), SystemClock())
     listener = GrpcListener(address, [service], {TOKEN: "peer"})
@@ -34,7 +34,7 @@
             link = ClaimsLink(lambda: stub)
             unary = _measure(lambda numbers: _describe(stub, numbers))
             alone = _measure(lambda numbers: _claim(link, numbers, 1))
-            together = _measure(lambda numbers: _claim(link, numbers, TOGETHER))
+            together = _measure(lambda numbers: _claim(link, numbers, CONCURRENT_CLAIMS))
             link.close()
     finally:
         listener.stop()
@@ -42,7 +42,12 @@
     return [
         Slope("gRPC call, both sides", unary, "us", f"unary, {both}"),
         Slope("claim on a link, both sides", alone, "us", f"one at a time, {both}"),
-        Slope("claim on a busy link, both sides", together, "us", f"{TOGETHER} at a time, {both}"),
+        Slope(
+            "claim on a busy link, both sides",
+            together,
+            "us",
+            f"{CONCURRENT_CLAIMS} at a time, {both}",
+        ),
     ]
 
 
@@ -50,7 +55,7 @@
     run_coroutine(make_calls(range(100)))
     started = time.process_time()
     run_coroutine(make_calls(range(100, 100 + CALLS)))
-    return (time.process_time() - started) / CALLS * MICRO
+    return (time.process_time() - started) / CALLS * MICROSECONDS_PER_SECOND
 
 
 async def _describe(stub: ClaimsStub, numbers: range) -> None:
--- a/packages/lab/src/persimmonusher_lab/slopes_claims.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_claims.py
@@ -15,8 +15,8 @@
 from persimmonusher_protocol import claims_pb2 as pb
 
 MEMBERS = 2_500
-DOMAINS = 8
-WINDOW = 600.0
+FAILURE_DOMAINS = 8
+KEY_WINDOW_SECONDS = 600.0
 ANSWER = b"x" * 300
 CALLS = 2_000
 
@@ -47,7 +47,7 @@
         ),
         Slope(
             "claim message there and back",
-            measure_time(lambda _: _carry(request), CALLS),
+            measure_time(lambda _: _encode_and_decode(request), CALLS),
             "us",
             "encode and decode of claim and vote, one register",
         ),
@@ -74,13 +74,13 @@
 
 
 def make_roster(members: int) -> Roster:
-    """Make a roster over the target's failure domains."""
+    """Make a roster of this many members over `FAILURE_DOMAINS` failure domains."""
     return Roster(
         1,
         tuple(
             Member(
                 InstanceId(f"instance-{number:05}"),
-                FailureDomain(f"domain-{number % DOMAINS}"),
+                FailureDomain(f"domain-{number % FAILURE_DOMAINS}"),
                 1_790_000_000_000 + number,
             )
             for number in range(members)
@@ -89,9 +89,9 @@
 
 
 def make_register(roster: Roster) -> Register:
-    """Make a register that trusts itself."""
+    """Make a register for the roster's first member."""
     member = roster.members[0]
-    register = Register(member.instance_id, member.boot, WINDOW, 0.0)
+    register = Register(member.instance_id, member.boot, KEY_WINDOW_SECONDS, 0.0)
     register.replace_roster(roster)
     return register
 
@@ -100,11 +100,11 @@
     """Make a claim on a key of its own."""
     key = f"{number:032x}"
     token = f"instance-00001:{number:024x}"
-    return ClaimRequest(key, token, f"{number:032x}", 1, WINDOW, 10.0)
+    return ClaimRequest(key, token, f"{number:032x}", 1, KEY_WINDOW_SECONDS, 10.0)
 
 
 def fill_register(roster: Roster, size: int) -> Register:
-    """Fill a register with finished records."""
+    """Make a register that holds `size` finished records."""
     register = make_register(roster)
     for number in range(size):
         request = make_request(number)
@@ -115,7 +115,7 @@
     return register
 
 
-def _carry(request: ClaimRequest) -> None:
+def _encode_and_decode(request: ClaimRequest) -> None:
     message = wire.write_request(request).SerializeToString()
     wire.read_request(pb.ClaimRequest.FromString(message))
 
--- a/packages/lab/src/persimmonusher_lab/slopes_configuration.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_configuration.py
@@ -7,27 +7,27 @@
 from persimmonusher_model.identifiers import Revision
 from persimmonusher_node.keeper_wire import encode_record
 
-SMALL = 5_000
-LARGE = 20_000
+FEW_ROUTES = 5_000
+MANY_ROUTES = 20_000
 LOOKUPS = 20_000
 
 
 def measure_configuration_slopes() -> list[Slope]:
     """Measure all slopes of the configuration."""
-    sources = {size: build_keeper(size) for size in (1, SMALL, LARGE)}
-    source = sources[LARGE]
+    sources = {size: build_keeper(size) for size in (1, FEW_ROUTES, MANY_ROUTES)}
+    source = sources[MANY_ROUTES]
     applied = build_replica(source)
     latest = source.revision
     pull = source.collect_since(Revision(latest - 1))
     record = _find_size(source, ObjectKind.ROUTE)
-    held = measure_bytes(lambda size: build_replica(sources[size]), SMALL, LARGE)
-    changes = list(make_changes(SMALL))
+    held = measure_bytes(lambda size: build_replica(sources[size]), FEW_ROUTES, MANY_ROUTES)
+    changes = list(make_changes(FEW_ROUTES))
     keeper = Configuration("fleet")
     return [
         Slope("route at an entry", held, "bytes", "record, decoded body and route table"),
         Slope(
             "route at a keeper",
-            measure_bytes(build_keeper, SMALL, LARGE),
+            measure_bytes(build_keeper, FEW_ROUTES, MANY_ROUTES),
             "bytes",
             "record with the verdict kept by change id",
         ),
@@ -40,7 +40,7 @@
         ),
         Slope(
             "pull of one record",
-            measure_time(lambda _: _carry(source.collect_since(Revision(latest - 1))), 1_000),
+            measure_time(lambda _: _encode(source.collect_since(Revision(latest - 1))), 1_000),
             "us",
             f"collected and encoded, {len(pull.records)} record",
         ),
@@ -48,7 +48,7 @@
             "look-up of a route and profile",
             measure_time(lambda number: _look_up(applied.routes.find, number), LOOKUPS),
             "us",
-            f"among {LARGE} routes",
+            f"among {MANY_ROUTES} routes",
         ),
     ]
 
@@ -58,12 +58,12 @@
     return sum(encode_record(record).ByteSize() for record in records) / len(records)
 
 
-def _carry(batch: Batch) -> None:
+def _encode(batch: Batch) -> None:
     for record in batch.records:
         encode_record(record).SerializeToString()
 
 
 def _look_up(find: object, number: int) -> None:
     assert callable(find)
-    item = number % LARGE
+    item = number % MANY_ROUTES
     assert find(f"host-{item % 5_000}.example.org", f"/organisation-{item}/entries/7") is not None
--- a/packages/lab/src/persimmonusher_lab/slopes_evidence.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_evidence.py
@@ -40,12 +40,15 @@
         Slope("question message", empty.ByteSize(), "bytes", "nothing to report"),
         Slope(
             "digest message for each server",
-            (wire.write_digest(digest).ByteSize() - wire.write_digest(_cut(digest)).ByteSize())
+            (
+                wire.write_digest(digest).ByteSize()
+                - wire.write_digest(_remove_servers(digest)).ByteSize()
+            )
             / SERVERS,
             "bytes",
             "as encoded",
         ),
-        Slope("verdict message", wire.write_set(verdict).ByteSize(), "bytes", "nobody ejected"),
+        Slope("verdict message", wire.write_set(verdict).ByteSize(), "bytes", "no server ejected"),
         Slope(
             "digest at the assessor",
             measure_time(lambda number: assessor.receive(make_digest(number, SERVERS), 1.0), 300),
@@ -56,7 +59,7 @@
             "verdict",
             measure_time(lambda number: assessor.assess(1.0 + number * 0.1), 300),
             "us",
-            f"{SERVERS} servers, well",
+            f"{SERVERS} servers, all healthy",
         ),
         Slope(
             "request's decisions",
@@ -86,7 +89,7 @@
 
 
 def make_servers(count: int) -> list[BackendServer]:
-    """Make announced servers."""
+    """Make this many servers, as they announce themselves."""
     return [
         BackendServer(
             server_id=ServerId(f"ranking-{number:05}"),
@@ -104,14 +107,14 @@
 
 
 def make_traffic(servers: int) -> ServiceTraffic:
-    """Make one service's traffic with servers."""
+    """Make the traffic of one service with this many servers."""
     traffic = ServiceTraffic(Profile(), FailureDomain("domain-0"), Random(1), SERVICE)
     traffic.replace_servers(make_servers(servers), 0.0)
     return traffic
 
 
 def make_digest(sequence: int, servers: int) -> EvidenceDigest:
-    """Make a digest of well servers."""
+    """Make a digest of healthy servers."""
     lines = tuple(
         ServerEvidence(ServerId(f"ranking-{number:05}"), 20, 0, 20, 1) for number in range(servers)
     )
@@ -126,7 +129,7 @@
     )
 
 
-def _cut(digest: EvidenceDigest) -> EvidenceDigest:
+def _remove_servers(digest: EvidenceDigest) -> EvidenceDigest:
     return make_digest(digest.sequence, 0)
 
 
--- a/packages/lab/src/persimmonusher_lab/slopes_membership.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_membership.py
@@ -27,11 +27,11 @@
     sent: list[int] = []
     envelopes: list[Envelope] = []
 
-    def note(_: VirtualInstance, envelope: Envelope) -> None:
+    def record(_: VirtualInstance, envelope: Envelope) -> None:
         sent.append(1)
         envelopes.append(envelope)
 
-    fleet.on_send = note
+    fleet.on_send = record
     fleet.run(SAMPLE_SECONDS)
     datagrams = [codec.seal(envelope) for envelope in envelopes]
     each = sum(len(datagram) + HEADER_BYTES for datagram in datagrams) / len(datagrams)
--- a/packages/lab/src/persimmonusher_lab/throughput.py
+++ b/packages/lab/src/persimmonusher_lab/throughput.py
@@ -1,8 +1,8 @@
-"""Requests a second on one core, and latency added, against the servers answering directly.
+"""Requests per second on one core, and the latency added to that of the servers alone.
 
 For fleets of 1, 3 and 6 instances, at several loads, in one run: first the client straight to the
 stand-in servers, then the same load through the fleet. Processor time is that of the instances,
-from the kernel, so that a busy machine blurs it less than it blurs latency.
+from the kernel, since other work on the machine distorts it less than latency.
 """
 
 import json
@@ -22,17 +22,17 @@
 
 FLEETS: Final = (1, 3, 6)
 RATES: Final = (100.0, 300.0, 960.0, 0.0)
-"""Requests a second; 0 is as many as 32 callers get through."""
+"""Requests per second; 0 is a closed loop, as many as the client's 32 connections get through."""
 ENTRY_RATE: Final = 100.0
 SERVERS: Final = 3
 SLOTS: Final = 64
 HOST: Final = "shows.example"
-EXTRA_SECONDS: Final = 30.0
+CLIENT_GRACE_SECONDS: Final = 30.0
 
 
 @dataclass(frozen=True)
 class Measurement:
-    """One load, directly or through a fleet of so many instances."""
+    """The results of one load, sent directly or through a fleet of this many instances."""
 
     instances: int
     """0 for the servers answering directly."""
@@ -54,7 +54,7 @@
 
 
 def measure_fleet(count: int, seconds: float, with_direct: bool) -> list[Measurement]:
-    """Start a fleet of so many instances and measure it under each load."""
+    """Start a fleet of this many instances and measure it under each load."""
     with tempfile.TemporaryDirectory() as scratch:
         folder = Path(scratch)
         network = choose_network()
@@ -87,7 +87,7 @@
         self._runs = 0
 
     def measure_all(self, instances: int) -> list[Measurement]:
-        """Measure each load, straight to the servers for 0 instances."""
+        """Measure each load, sent straight to the servers for 0 instances."""
         measured = [self.measure(instances, rate, False) for rate in RATES]
         return [*measured, self.measure(instances, ENTRY_RATE, True)]
 
@@ -112,7 +112,7 @@
         before = self._read_cpu_seconds()
         name = f"client-{self._runs}"
         client = self._fleet.runner.start(name, ["persimmonusher_lab", *arguments])
-        if client.wait(self._seconds + EXTRA_SECONDS) != 0:
+        if client.wait(self._seconds + CLIENT_GRACE_SECONDS) != 0:
             raise RuntimeError(f"the client failed: {client.read_tail()}")
         used = self._read_cpu_seconds() - before
         figures = read_figures(report)
@@ -147,7 +147,7 @@
 
 
 def list_rows(measurements: Sequence[Measurement]) -> list[list[str]]:
-    """Return the table, with what each load adds over the direct one of the same run."""
+    """Return the table's rows, with what each load adds over the direct one of the same run."""
     direct = {
         (item.kind, item.offered): item.figures for item in measurements if not item.instances
     }
--- a/packages/lab/src/persimmonusher_lab/throughput_client.py
+++ b/packages/lab/src/persimmonusher_lab/throughput_client.py
@@ -1,4 +1,4 @@
-"""A lean caller for measurements: raw HTTP/1.1 over kept connections, open or closed loop.
+"""A lean caller for measurements: raw HTTP/1.1 on persistent connections, open or closed loop.
 
 An ordinary client library costs as much processor time as the proxy under test and would be what
 is measured. Latency counts from the scheduled start, so a late start counts against the fleet.
@@ -22,8 +22,8 @@
 from persimmonusher_lab import wire
 
 MAX_LATENCY_US: Final = 60_000_000
-SOCKET_SECONDS: Final = 10.0
-LENGTH: Final = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
+SOCKET_TIMEOUT_SECONDS: Final = 10.0
+CONTENT_LENGTH: Final = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
 HEAD_END: Final = b"\r\n\r\n"
 
 
@@ -35,7 +35,7 @@
     host: str
     seconds: float
     rate: float
-    """Requests started in each second; 0 keeps every connection busy instead."""
+    """Requests started per second; 0 keeps every connection busy instead."""
     connections: int = 32
     is_entry: bool = False
     work_ms: float = 1.0
@@ -57,18 +57,18 @@
 
 
 class Connection:
-    """One kept connection that sends a request at a time."""
+    """One persistent connection that carries one request at a time."""
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._socket: socket.socket | None = None
 
     def exchange(self, request: bytes) -> int:
-        """Send a request and read its whole answer; return the status, 0 when it broke."""
+        """Send a request and read its whole answer; return the status, or 0 if it failed."""
         try:
             if self._socket is None:
                 host, _, port = self._address.rpartition(":")
-                self._socket = socket.create_connection((host, int(port)), SOCKET_SECONDS)
+                self._socket = socket.create_connection((host, int(port)), SOCKET_TIMEOUT_SECONDS)
                 self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._socket.sendall(request)
             return self._read(self._socket)
@@ -86,7 +86,7 @@
         data = b""
         while (end := data.find(HEAD_END)) < 0:
             data += self._receive(connection)
-        found = LENGTH.search(data, 0, end + 2)
+        found = CONTENT_LENGTH.search(data, 0, end + 2)
         missing = int(found.group(1)) - (len(data) - end - len(HEAD_END)) if found else 0
         while missing > 0:
             missing -= len(self._receive(connection))
--- a/packages/lab/src/persimmonusher_lab/watch.py
+++ b/packages/lab/src/persimmonusher_lab/watch.py
@@ -1,6 +1,6 @@
 """Watches the fleet through the operators' interface while a demo or test runs.
 
-It samples what each instance says of itself and of the backend servers, so that a floor broken
+It samples what each instance reports of itself and of the backend servers, so that a floor broken
 for a moment, a revision that went back, or a false ejection is seen when it happens.
 """
 
@@ -17,13 +17,13 @@
 from persimmonusher_model.errors import UsherError
 from persimmonusher_protocol import operator_pb2 as pb
 
-INTERVAL_SECONDS: Final = 0.4
+SAMPLE_INTERVAL_SECONDS: Final = 0.4
 READY: Final = "ready"
 
 
 @dataclass(frozen=True)
-class Sighting:
-    """A server that is ready by its own word, kept from work by one instance."""
+class Exclusion:
+    """A server that announces itself as ready and that one instance gives no work to."""
 
     at: float
     instance_id: str
@@ -33,11 +33,11 @@
 
 @dataclass
 class Observations:
-    """What the watch saw so far."""
+    """What the watch has observed so far."""
 
     samples: int = 0
     failed_samples: int = 0
-    sightings: list[Sighting] = field(default_factory=list)
+    exclusions: list[Exclusion] = field(default_factory=list)
     floor_breaks: list[str] = field(default_factory=list)
     reverts: list[str] = field(default_factory=list)
     revisions: dict[str, int] = field(default_factory=dict)
@@ -57,8 +57,8 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
         self.observations = Observations()
 
-    def take_servers(self, found: pb.ServerList, now: float) -> None:
-        """Take one sample of the servers."""
+    def record_servers(self, found: pb.ServerList, now: float) -> None:
+        """Record one sample of the servers."""
         views: dict[tuple[str, str], list[pb.ServerView]] = {}
         for server in found.servers:
             for view in server.views:
@@ -66,8 +66,8 @@
                     continue
                 views.setdefault((view.instance_id, server.service), []).append(view)
                 if not view.taking_work:
-                    self.observations.sightings.append(
-                        Sighting(now, view.instance_id, server.server_id, view.reason)
+                    self.observations.exclusions.append(
+                        Exclusion(now, view.instance_id, server.server_id, view.reason)
                     )
         for (instance_id, service), own in views.items():
             self._check_floor(instance_id, service, own)
@@ -80,8 +80,8 @@
                 f"{instance_id} gives work to {taking} of {len(views)} ready servers of {service}"
             )
 
-    def take_instances(self, found: pb.InstanceList, now: float) -> None:
-        """Take one sample of the instances' revisions."""
+    def record_instances(self, found: pb.InstanceList, now: float) -> None:
+        """Record one sample of the instances' revisions."""
         seen = self.observations
         for item in found.instances:
             if not item.answered:
@@ -94,11 +94,11 @@
                 seen.first_seen[(item.instance_id, revision)] = now
 
     def _run(self) -> None:
-        while not self._stop.wait(INTERVAL_SECONDS):
+        while not self._stop.wait(SAMPLE_INTERVAL_SECONDS):
             try:
                 client = self._make_client()
-                self.take_servers(client.list_servers(""), time.monotonic())
-                self.take_instances(client.list_instances(), time.monotonic())
+                self.record_servers(client.list_servers(""), time.monotonic())
+                self.record_instances(client.list_instances(), time.monotonic())
                 self.observations.samples += 1
             except (UsherError, OSError):
                 self.observations.failed_samples += 1
@@ -118,7 +118,7 @@
 
 
 def check_floor(seen: Observations) -> PromiseResult:
-    """Check that no instance kept work from more ready servers than the floor allows."""
+    """Check that no instance withheld work from more ready servers than the floor allows."""
     broken = sorted(set(seen.floor_breaks))
     figure = f"{len(broken)} breaks in {seen.samples} samples {'; '.join(broken[:2])}".rstrip()
     return PromiseResult("the floor holds", not broken and seen.samples > 0, figure)
--- a/packages/lab/src/persimmonusher_lab/wire.py
+++ b/packages/lab/src/persimmonusher_lab/wire.py
@@ -1,7 +1,7 @@
 """Names of the HTTP interfaces, written from docs/reference/interfaces.md alone.
 
-The lab stands for callers and backend servers of other firms, so it doesn't import the node's own
-constants: a name that the node changes without its page shows here as a failing demo.
+The lab plays the callers and backend servers of other firms, so it doesn't import the node's own
+constants: if the node changes a name without changing that page, the demo fails.
 """
 
 from typing import Final
@@ -11,7 +11,7 @@
 CALLER: Final = "Persimmonusher-Caller"
 REQUEST_CLASS: Final = "Persimmonusher-Class"
 DEADLINE_MS: Final = "Persimmonusher-Deadline-Ms"
-"""Milliseconds left when the request was sent on."""
+"""Milliseconds left when the request was forwarded."""
 NOT_RUN: Final = "Persimmonusher-Not-Run"
 """On a 503 of a backend server: `shed` or `draining`."""
 SHED: Final = "shed"
--- a/packages/lab/src/persimmonusher_lab/worth.py
+++ b/packages/lab/src/persimmonusher_lab/worth.py
@@ -1,9 +1,9 @@
-"""Ranks what a played day lost by cause, from the report that the users' bench writes.
+"""Ranks by cause what a simulated day lost, from the report that the users' bench writes.
 
-A day's worth is a weighted sum of parts, each between 0 and 1, less prices. What a part lacks is
-laid to its causes: requests that weren't served by how their last try ended, answers that came late
-as the rest. The worst windows and the worst kind of request are named as they are, since the report
-doesn't say which causes fell into them.
+A day's worth is a weighted sum of parts, each between 0 and 1, minus prices. What a part lacks is
+attributed to causes: to unserved requests by how their last try ended, and the rest to late
+answers. Losses in the worst windows and in the worst kind of request are listed under these names,
+since the report doesn't say which causes fell into them.
 """
 
 import json
@@ -14,11 +14,11 @@
 
 from persimmonusher_model.errors import ErrorCode, UsherError
 
-SMALLEST_LOSS: Final = 0.0005
-"""Worth below which a loss isn't listed: half of the last digit that is printed."""
+MIN_LISTED_LOSS: Final = 0.0005
+"""Smaller losses aren't listed: half of the last digit that is printed."""
 WHOLE_DAY: Final = "whole day"
 SERVED_SHARE: Final = "nines"
-WAITING: Final = "answers that came late"
+LATE_ANSWERS: Final = "answers that came late"
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class DayReport:
-    """What is read of a report."""
+    """The parts of a report that are read."""
 
     worth: float
     parts: tuple[Part, ...]
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """Worth that a cause took."""
+    """The worth lost to one cause."""
 
     cause: str
     worth: float
 
 
 def read_report(path: Path) -> DayReport:
-    """Read a report; raise UsherError where it isn't one."""
+    """Read a report; raise UsherError if the file isn't one."""
     try:
         return parse_report(json.loads(path.read_bytes()))
     except (OSError, ValueError, KeyError, TypeError) as error:
@@ -81,7 +81,7 @@
     for loss in (*_list_part_losses(report), *_list_prices(report)):
         losses[loss.cause] = losses.get(loss.cause, 0.0) + loss.worth
     ranked = sorted(losses.items(), key=lambda item: -item[1])
-    return tuple(Loss(cause, worth) for cause, worth in ranked if worth >= SMALLEST_LOSS)
+    return tuple(Loss(cause, worth) for cause, worth in ranked if worth >= MIN_LISTED_LOSS)
 
 
 def describe_losses(report: DayReport) -> list[str]:
@@ -104,13 +104,13 @@
 
 
 def _split_whole_day(part: Part, report: DayReport) -> Iterable[Loss]:
-    """Lay what the day lacks to unserved requests by their number, the rest to late answers."""
+    """Attribute what the day lacks to unserved requests by number, the rest to late answers."""
     left = part.lost
     for cause, count in report.unserved:
         lost = min(left, part.weight * count / max(1, report.asked))
         left -= lost
         yield Loss(f"not served: {cause}", lost)
-    yield Loss(WAITING, left)
+    yield Loss(LATE_ANSWERS, left)
 
 
 def _list_prices(report: DayReport) -> Iterable[Loss]:
--- a/packages/lab/tests/test_claims_matrix.py
+++ b/packages/lab/tests/test_claims_matrix.py
@@ -1,4 +1,4 @@
-"""The claims matrix finds no fault in the product, and finds each mechanism that is taken out."""
+"""The claims matrix finds no violation in the product, and one if a mechanism is taken out."""
 
 import unittest
 from collections.abc import Sequence
@@ -50,9 +50,9 @@
         self.assertIsNone(find_storm(STORMS))
 
     def test_a_restarted_register_waits_also_for_a_token_it_has_read(self) -> None:
-        # A breeder's entry ran twice. A register granted one claim and restarted; it read back a
-        # rival's record from one peer and, as it now held that token, granted the rival before
-        # the other peers had told it of the claim it had granted.
+        # An entry ran twice with this seed: a register granted one claim and restarted. It read
+        # back a rival's record from one peer and, since it then held that token, granted the
+        # rival before the other peers had sent it the claim that it had granted.
         self.assertIsNone(find_storm([25_718]))
 
     def test_the_matrix_finds_a_register_that_forgets(self) -> None:
--- a/packages/lab/tests/test_keeper_processes.py
+++ b/packages/lab/tests/test_keeper_processes.py
@@ -10,7 +10,7 @@
 from persimmonusher_lab.processes import ProcessRunner
 from persimmonusher_protocol import operator_pb2 as pb
 
-SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 class KeeperProcessesTest(unittest.TestCase):
@@ -23,7 +23,7 @@
         self.fleet = Fleet(runner, folder, plan_instances(choose_network(), 4, 3), [])
         self.fleet.start_all()
         self.accepted: list[tuple[pb.Change, int]] = []
-        wait_for("a leader", self.find_leader, SECONDS, runner)
+        wait_for("a leader", self.find_leader, TIMEOUT_SECONDS, runner)
 
     def list_keepers(self) -> dict[str, str]:
         """Return each keeper's role by its instance."""
@@ -39,7 +39,7 @@
         return next(name for name, role in sorted(roles.items()) if role == "follower")
 
     def change(self) -> None:
-        """Have a change accepted, resent while its outcome is unknown."""
+        """Propose a change, resend it until its outcome is known, and check that it's accepted."""
         number = len(self.accepted)
         change = pb.Change(
             change_id=f"change-{number}",
@@ -47,7 +47,7 @@
             name=f"profile-{number}",
             body=json.dumps({"ramp_ms": number}),
         )
-        reply = self.fleet.make_client(SECONDS).propose(change)
+        reply = self.fleet.make_client(TIMEOUT_SECONDS).propose(change)
         self.assertEqual(reply.verdict, pb.ACCEPTED, reply)
         self.accepted.append((change, reply.revision))
 
@@ -69,8 +69,8 @@
         """An operator goes on making changes while keepers fail one after the other.
 
         The leader is killed, the next one is frozen and wakes up, a follower loses its disk and
-        comes back empty, and right after it counts again another keeper is killed. Whatever was
-        accepted must be there, in force everywhere, and a resend must get the same verdict.
+        comes back empty, and right after it is a voter again another keeper is killed. Whatever
+        was accepted must be there, in force everywhere, and a resend must get the same verdict.
         """
         self.change()
         killed = self.find_leader()
@@ -78,26 +78,26 @@
         self.kill(killed)
         self.change()
         self.start(killed)
-        frozen = wait_for("a new leader", self.find_leader, SECONDS)
+        frozen = wait_for("a new leader", self.find_leader, TIMEOUT_SECONDS)
         self.fleet.processes[frozen].send(signal.SIGSTOP)
         self.change()
         time.sleep(2.0)
         self.fleet.processes[frozen].send(signal.SIGCONT)
         self.change()
-        wait_for("all keepers", lambda: len(self.list_keepers()) == 3, SECONDS)
+        wait_for("all keepers", lambda: len(self.list_keepers()) == 3, TIMEOUT_SECONDS)
         wiped = self.find_follower()
         self.kill(wiped)
         shutil.rmtree(self.fleet.folder / f"{wiped}-data" / "keeper")
         self.start(wiped)
         self.change()
-        wait_for("the repaired keeper as a voter", lambda: self.is_voter(wiped), SECONDS)
+        wait_for("the repaired keeper as a voter", lambda: self.is_voter(wiped), TIMEOUT_SECONDS)
         second = next(name for name in self.list_keepers() if name != wiped)
         self.kill(second)
         self.change()
         self.start(second)
-        wait_for("every instance at the latest revision", self.is_in_force, SECONDS)
+        wait_for("every instance at the latest revision", self.is_in_force, TIMEOUT_SECONDS)
         for change, revision in self.accepted:
-            reply = self.fleet.make_client(SECONDS).propose(change)
+            reply = self.fleet.make_client(TIMEOUT_SECONDS).propose(change)
             self.assertEqual((reply.verdict, reply.revision), (pb.ACCEPTED, revision))
         found = self.fleet.make_client().read_objects(pb.PROFILE).objects
         self.assertEqual(
--- a/packages/lab/tests/test_membership_matrix.py
+++ b/packages/lab/tests/test_membership_matrix.py
@@ -23,7 +23,7 @@
     def test_every_datagram_fits(self) -> None:
         """
         Two halves of a fleet learn 300 servers each while cut off from each other, and an instance
-        restarts. The exchanges after the cut carry as much as they ever do.
+        restarts, so that the exchanges after the cut are as large as they get.
         """
         fleet = VirtualFleet(6, seed=1)
         codec = MembershipCodec("token")
--- a/packages/lab/tests/test_processes.py
+++ b/packages/lab/tests/test_processes.py
@@ -32,7 +32,7 @@
 
 HOST = "shows.example"
 SERVICE = "shows"
-START_SECONDS = 15.0
+START_TIMEOUT_SECONDS = 15.0
 RATE = 50.0
 DEADLINE_MS = 1_500
 PROFILE = json.dumps({"preset": "detection-first"})
@@ -50,19 +50,21 @@
     def start_fleet(self, servers: list[ServerPlan]) -> Fleet:
         fleet = Fleet(self.runner, self.folder, plan_instances(self.network, 5, 3), servers)
         fleet.start_all()
-        wait_for("a leader", lambda: find_leader(fleet) or None, START_SECONDS, self.runner)
+        wait_for("a leader", lambda: find_leader(fleet) or None, START_TIMEOUT_SECONDS, self.runner)
         self.propose(fleet, "p0", pb.PROFILE, SERVICE, PROFILE)
         self.propose(fleet, "s0", pb.SERVICE, SERVICE, PUT_SERVICE)
         revision = self.propose(fleet, "r0", pb.ROUTE, f"{HOST}/", PUT_ROUTE)
-        wait_for("configuration", lambda: self.all_have(fleet, revision) or None, START_SECONDS)
-        wait_for("servers", lambda: self.all_know_servers(fleet) or None, START_SECONDS)
+        wait_for(
+            "configuration", lambda: self.all_have(fleet, revision) or None, START_TIMEOUT_SECONDS
+        )
+        wait_for("servers", lambda: self.all_know_servers(fleet) or None, START_TIMEOUT_SECONDS)
         wait_for_entries(fleet, HOST)
         return fleet
 
     def propose(
         self, fleet: Fleet, change_id: str, kind: pb.ObjectKind, name: str, body: str
     ) -> int:
-        """Propose a change on top of what is there; return the revision it was accepted as."""
+        """Propose a change to the current object; return the revision it was accepted as."""
         client = fleet.make_client(20.0)
         found = client.read_objects(kind, name).objects
         based_on = found[0].revision if found else 0
@@ -86,7 +88,7 @@
     def check_servers_counts(self, fleet: Fleet, report: Path, least_ran: float = 0.9) -> list[Try]:
         """Check every promise to callers against what the servers really ran.
 
-        `least_ran` is the share of the work that must have got through in the end.
+        `least_ran` is the share of the pieces of work whose last try must have run.
         """
         tries = read_tries([report])
         records = read_ledgers(fleet.ledgers)
@@ -106,10 +108,10 @@
         return tries
 
     def test_entry_killed_and_another_frozen_under_load(self) -> None:
-        """One entry is killed at once; another freezes with requests in its buffers, and so does a
-        server. Callers time out and resend with their keys through other entries. When the frozen
-        ones go on, they find old requests before them, which ran elsewhere meanwhile: a fleet that
-        runs them then has doubled an entry.
+        """One entry is killed; another one and a server freeze with requests in their buffers.
+        Callers time out and resend with their keys through other entries. When the frozen processes
+        continue, they find old requests in their buffers that have run elsewhere meanwhile: a
+        fleet that runs them then has doubled an entry.
         """
         fleet = self.start_fleet(plan_servers(self.network, {SERVICE: 4}))
         load, report = fleet.start_load(1, HOST, 8.0, RATE, DEADLINE_MS)
@@ -126,10 +128,10 @@
         self.check_servers_counts(fleet, report)
 
     def test_answers_lost_one_way_and_connections_broken(self) -> None:
-        """A server's answers are lost while requests still reach it, then every connection to the
-        others breaks, three times, while all are slow, so that some surely hold an entry. Callers
-        see errors; the entries ran, so a resend that runs again, and a `not run` that did run,
-        both show in the servers' ledgers.
+        """A server's answers are lost while requests still reach it. Then every connection to the
+        other servers breaks three times; all servers are slow then, so that entries are surely in
+        progress. Callers see errors although entries ran: a resend that runs again, or a `not run`
+        for work that did run, shows in the servers' ledgers.
         """
         plans = plan_servers(self.network, {SERVICE: 4})
         relays = []
@@ -163,9 +165,9 @@
         self.assertLessEqual({"answer-broken", "answer-timeout"}, unknown)
 
     def test_crashing_request_costs_a_bounded_number_of_servers(self) -> None:
-        """One request ends each server that runs it. Its caller sends it again and again, through
-        one entry after another. Without quarantine every server is lost; with it, two are, the
-        request is refused at once as not run, and the servers that are left serve the others.
+        """One request crashes each server that runs it. Its caller resends it many times, through
+        one entry after another. Without quarantine every server is lost. With it, two are lost,
+        the request is refused at once as not run, and the other servers serve the other requests.
         """
         fleet = self.start_fleet(plan_servers(self.network, {SERVICE: 5}))
         load, report = fleet.start_load(1, HOST, 6.0, RATE, DEADLINE_MS)
@@ -196,9 +198,9 @@
         return answer.status, answer.headers.get(wire.OUTCOME), answer.json().get("code")
 
     def test_keeper_wiped_and_a_second_lost_right_after(self) -> None:
-        """The leading keeper dies and is repaired with an empty disk; right after, a second keeper
-        dies. Were the repaired one to vote as if it had kept its promises, it could elect itself
-        with the emptied log, and accepted changes would be gone.
+        """The leading keeper is killed and comes back with an empty disk; right after, a second
+        keeper is killed. If the repaired keeper voted as if it had kept its log and its votes, it
+        could elect itself with the empty log, and accepted changes would be lost.
         """
         fleet = self.start_fleet(plan_servers(self.network, {SERVICE: 2}))
         bodies = [json.dumps({"preset": "detection-first", "ramp_ms": n}) for n in range(100, 106)]
@@ -240,7 +242,7 @@
         return any(item.instance_id == instance_id and item.role != "unreachable" for item in found)
 
     def check_accepted(self, fleet: Fleet, revision: int) -> None:
-        """Check that every running instance still has what was accepted."""
+        """Check that every running instance still has the accepted changes."""
         found = fleet.make_client(5.0).list_instances().instances
         for item in found:
             if item.answered:
--- a/packages/lab/tests/test_promises.py
+++ b/packages/lab/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The demo's checks must fail when a promise is broken; each is shown a broken run."""
+"""Each check of the demo must fail for a run that breaks its promise."""
 
 import unittest
 from collections.abc import Sequence
@@ -112,7 +112,7 @@
         self.seen: Observations = self.watch.observations
         self.seen.samples = 1
 
-    def take_servers(self, taking: int, of: int) -> None:
+    def record_servers(self, taking: int, of: int) -> None:
         servers = []
         for number in range(of):
             view = pb.ServerView(
@@ -121,19 +121,19 @@
             servers.append(
                 pb.ServerEntry(server_id=f"s{number}", service="shows", state="ready", views=[view])
             )
-        self.watch.take_servers(pb.ServerList(servers=servers), 1.0)
+        self.watch.record_servers(pb.ServerList(servers=servers), 1.0)
 
     def test_floor(self) -> None:
-        self.take_servers(3, 5)
+        self.record_servers(3, 5)
         self.assertTrue(check_floor(self.seen).held)
-        self.assertEqual(len(self.seen.sightings), 2)
-        self.take_servers(2, 5)
+        self.assertEqual(len(self.seen.exclusions), 2)
+        self.record_servers(2, 5)
         self.assertFalse(check_floor(self.seen).held)
 
     def test_revert(self) -> None:
         for revision, held in ((3, True), (3, True), (5, True), (4, False)):
             status = pb.InstanceStatus(instance_id="i1", revision=revision, answered=True)
-            self.watch.take_instances(pb.InstanceList(instances=[status]), 1.0)
+            self.watch.record_instances(pb.InstanceList(instances=[status]), 1.0)
             self.assertIs(check_no_revert(self.seen).held, held)
 
 
--- a/packages/lab/tests/test_throughput.py
+++ b/packages/lab/tests/test_throughput.py
@@ -1,4 +1,4 @@
-"""The measuring client counts, times and survives, against the stand-in in this process."""
+"""The measuring client counts and times answers and failures of a stand-in in this process."""
 
 import tempfile
 import unittest
