--- a/packages/lab/src/persimmonusher_lab/__main__.py
+++ b/packages/lab/src/persimmonusher_lab/__main__.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 GREEN_COMMANDS: Final = frozenset({"backend-server", "load", "measure-client"})
-"""Commands that serve many connections at once; the others only start processes and wait."""
+"""Commands that handle many connections at once, on green threads; the others run unpatched."""
 
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 if len(sys.argv) > 1 and sys.argv[1] in GREEN_COMMANDS:
--- a/packages/lab/src/persimmonusher_lab/backend_server.py
+++ b/packages/lab/src/persimmonusher_lab/backend_server.py
@@ -137,7 +137,7 @@
         """Answer one request."""
         path = environ["PATH_INFO"]
         if path.startswith("/lab/"):
-            answer = self._control(environ)
+            answer = self._handle_control(environ)
         elif path == "/health":
             answer = self._report_health()
         elif path == "/load":
@@ -147,7 +147,7 @@
         start_response(answer.status, [*answer.headers, _content_length(answer.body)])
         return [answer.body]
 
-    def _control(self, environ: Environ) -> Answer:
+    def _handle_control(self, environ: Environ) -> Answer:
         length = int(environ.get("CONTENT_LENGTH") or 0)
         text = environ["wsgi.input"].read(length)
         try:
@@ -167,10 +167,10 @@
         return Answer(status, (JSON_TYPE,), b'{"healthy": true}')
 
     def _report_load(self) -> Answer:
-        body = json.dumps({"load": self._find_reported_load()}).encode()
+        body = json.dumps({"load": self._compute_reported_load()}).encode()
         return Answer("200 OK", (JSON_TYPE,), body)
 
-    def _find_reported_load(self) -> int:
+    def _compute_reported_load(self) -> int:
         faults = self.faults
         load = self._slots.find_load_at(time.monotonic(), faults.load_lag_seconds)
         return int(load * faults.load_factor)
@@ -203,20 +203,22 @@
             if work.path.startswith(CRASH_PATH):
                 os._exit(CRASH_EXIT_CODE)
             fails = faults.choose_failure(self._random)
-            if not (fails and faults.fail_fast) and not self._work(work, faults, connection):
+            if not (fails and faults.fail_fast) and not self._spend_service_time(
+                work, faults, connection
+            ):
                 self._record(work, Phase.FAILED)
                 return Answer(CANCELLED_STATUS, (JSON_TYPE,), b"{}")
             self._record(work, Phase.FAILED if fails else Phase.DONE)
         eventlet.sleep(faults.late_seconds)
         return self._build_answer(work, fails)
 
-    def _work(self, work: Work, faults: Faults, connection: Any) -> bool:
+    def _spend_service_time(self, work: Work, faults: Faults, connection: Any) -> bool:
         """Spend the service time.
 
         Return False if idempotent work was cancelled, because the caller disconnected or the
         deadline passed.
         """
-        end = time.monotonic() + self._draw_seconds(work, faults)
+        end = time.monotonic() + self._draw_service_seconds(work, faults)
         while (left := end - time.monotonic()) > 0:
             if work.is_idempotent and time.monotonic() > work.deadline:
                 return False
@@ -225,7 +227,7 @@
                 return False
         return True
 
-    def _draw_seconds(self, work: Work, faults: Faults) -> float:
+    def _draw_service_seconds(self, work: Work, faults: Faults) -> float:
         options = self.options
         typical = work.service_ms
         if typical is None:
@@ -242,7 +244,7 @@
             "padding": "." * work.answer_bytes,
             "whole": True,
         }
-        headers = (JSON_TYPE, (wire.LOAD, str(self._find_reported_load())))
+        headers = (JSON_TYPE, (wire.LOAD, str(self._compute_reported_load())))
         if fails:
             return Answer("500 Internal Server Error", headers, b'{"error": "failed"}')
         return Answer("200 OK", headers, json.dumps(document).encode())
--- a/packages/lab/src/persimmonusher_lab/capacity.py
+++ b/packages/lab/src/persimmonusher_lab/capacity.py
@@ -1,4 +1,4 @@
-"""What the target size costs each role, computed from slopes measured in the same run.
+"""What a fleet of the target size costs each role, computed from slopes measured in the same run.
 
 `python -m persimmonusher_lab capacity` prints the slopes and the arithmetic as Markdown tables for
 docs/CAPACITY.md. Assumptions that no measurement gives are constants here, each with its reason.
--- a/packages/lab/src/persimmonusher_lab/configuration_measure.py
+++ b/packages/lab/src/persimmonusher_lab/configuration_measure.py
@@ -55,10 +55,10 @@
 @contextmanager
 def measure_time(name: str, count: int) -> Iterator[None]:
     """Print the processor and elapsed time for each of `count` operations."""
-    started, processor = time.perf_counter(), time.process_time()
+    started, cpu_started = time.perf_counter(), time.process_time()
     yield
     elapsed = (time.perf_counter() - started) / count * 1e6
-    used = (time.process_time() - processor) / count * 1e6
+    used = (time.process_time() - cpu_started) / count * 1e6
     print(f"{name}: {used:.1f} us of processor time, {elapsed:.1f} us elapsed, n={count}")
 
 
--- a/packages/lab/src/persimmonusher_lab/demo_report.py
+++ b/packages/lab/src/persimmonusher_lab/demo_report.py
@@ -22,7 +22,7 @@
     marks: Mapping[str, float],
     results: Sequence[PromiseResult],
 ) -> None:
-    """Print outcomes, latencies and the table of promises."""
+    """Print the counts of outcomes, the latencies and the table of promises."""
     _print_outcomes("tries", count_outcomes(tries))
     _print_outcomes("pieces of work", count_final_outcomes(tries))
     print("\nlatency of whole answers, ms")
--- a/packages/lab/src/persimmonusher_lab/fleet.py
+++ b/packages/lab/src/persimmonusher_lab/fleet.py
@@ -26,7 +26,7 @@
 BACKEND_PORT: Final = 8100
 FIRST_BACKEND_HOST: Final = 100
 FOUNDING_INSTANCES: Final = 5
-"""The default of the settings. A smaller fleet sets its own size, as it can't wait for as many."""
+"""The default in the settings. A smaller fleet sets its own size, as it can't wait for as many."""
 PEER_TOKEN: Final = "lab-peers"
 OPERATOR_NAME: Final = "lab"
 OPERATOR_TOKEN: Final = "lab-operator"
--- a/packages/lab/src/persimmonusher_lab/keeper_measure.py
+++ b/packages/lab/src/persimmonusher_lab/keeper_measure.py
@@ -91,7 +91,7 @@
 def measure_changes(clients: list[ConfigurationClient], count: int, pause: float) -> None:
     """Make changes one after the other; print how soon they were accepted and in force."""
     accepted, in_force = [], []
-    started, processor = time.perf_counter(), time.process_time()
+    started, cpu_started = time.perf_counter(), time.process_time()
     for number in range(count):
         begun = time.perf_counter()
         verdict = loop.run_coroutine(clients[-1].propose(make_change(number)))
@@ -101,7 +101,7 @@
             eventlet.sleep(0.001)
         in_force.append((time.perf_counter() - begun) * 1e3)
         eventlet.sleep(pause)
-    used = time.process_time() - processor
+    used = time.process_time() - cpu_started
     print(
         f"{count} changes in {time.perf_counter() - started:.1f} s, {used:.2f} s of processor time"
     )
@@ -127,9 +127,9 @@
         ]
         first = make_change(-1)
         loop.run_coroutine(clients[-1].propose(first))
-        processor = time.process_time()
+        cpu_started = time.process_time()
         eventlet.sleep(rest)
-        share = (time.process_time() - processor) / rest * 100
+        share = (time.process_time() - cpu_started) / rest * 100
         print(f"{KEEPERS} keepers, {entries} entries at rest: {share:.1f}% of a core together")
         measure_changes(clients, changes, pause)
 
--- a/packages/lab/src/persimmonusher_lab/load.py
+++ b/packages/lab/src/persimmonusher_lab/load.py
@@ -98,7 +98,7 @@
         )
 
     def run(self) -> None:
-        """Start every request on schedule and wait for all of them."""
+        """Start every piece of work on schedule and wait until all have ended."""
         workers = eventlet.GreenPool(MAX_CONCURRENT_REQUESTS)
         options = self._options
         first = time.monotonic()
--- a/packages/lab/src/persimmonusher_lab/main.py
+++ b/packages/lab/src/persimmonusher_lab/main.py
@@ -16,7 +16,9 @@
     address: str,
     ledger: Annotated[Path, typer.Option(help="File to append to.")],
     announce_to: Annotated[str, typer.Option(help="ip:port list, comma-separated.")] = "",
-    listen: Annotated[str, typer.Option(help="Own ip:port behind a relay.")] = "",
+    listen: Annotated[
+        str, typer.Option(help="ip:port to listen on, if a relay has the announced one.")
+    ] = "",
     failure_domain: str = "a",
     slots: int = 4,
     connection_limit: int = 400,
@@ -122,7 +124,7 @@
 @app.command()
 def throughput(
     output: Annotated[Path, typer.Option(help="JSON file to write.")] = Path("throughput.json"),
-    seconds: Annotated[float, typer.Option(max=120.0, help="Of each load.")] = 4.0,
+    seconds: Annotated[float, typer.Option(max=120.0, help="Seconds of each load.")] = 4.0,
 ) -> None:
     """Measure requests per second on one core and the latency added by 1, 3 and 6 instances."""
     from persimmonusher_lab.throughput import run_throughput
--- a/packages/lab/src/persimmonusher_lab/membership_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/membership_matrix.py
@@ -140,7 +140,7 @@
         self._fleet.restart(5)
         self._fleet.run(0.5)
         drained = self._drain(self._servers[0])
-        self._lose(self._servers[1])
+        self._stop_announcing(self._servers[1])
         self._fleet.run(max(0.0, FAULTS_END_SECONDS - self._fleet.now))
         if any(fault.effect is Effect.ISOLATED for fault in self.faults):
             self._fleet.run(ISOLATION_SECONDS)
@@ -173,7 +173,7 @@
         fleet.deliver(ready, 4)
         return None if took is None else took + 0.3
 
-    def _lose(self, server: VirtualServer) -> None:
+    def _stop_announcing(self, server: VirtualServer) -> None:
         self._fleet.run(0.5)
         server.announcing = False
 
--- a/packages/lab/src/persimmonusher_lab/promises.py
+++ b/packages/lab/src/persimmonusher_lab/promises.py
@@ -35,11 +35,11 @@
 
 
 def check_not_run(tries: Sequence[Try], records: Sequence[LedgerRecord]) -> PromiseResult:
-    """Check that no request that its caller was answered as not run was run."""
+    """Check that no request whose caller got the answer "not run" was begun at a server."""
     begun = {record.request_id for record in records if record.phase is Phase.BEGUN}
-    told = [item for item in tries if item.told is Told.NOT_RUN]
-    false = [item.request_id for item in told if item.request_id in begun]
-    figure = f"{len(false)} false of {len(told)} not-run answers {' '.join(false[:3])}".rstrip()
+    not_run = [item for item in tries if item.told is Told.NOT_RUN]
+    false = [item.request_id for item in not_run if item.request_id in begun]
+    figure = f"{len(false)} false of {len(not_run)} not-run answers {' '.join(false[:3])}".rstrip()
     return PromiseResult("'not run' is true", not false, figure)
 
 
@@ -55,9 +55,9 @@
 def check_not_lost(tries: Sequence[Try], records: Sequence[LedgerRecord]) -> PromiseResult:
     """Check that a server finished each entry that was reported to its caller as done."""
     done = {record.token for record in records if record.phase is Phase.DONE}
-    told = {item.token for item in tries if item.is_entry and item.told is Told.RAN}
-    lost = sorted(told - done)
-    figure = f"{len(lost)} lost of {len(told)} told done {' '.join(lost[:3])}".rstrip()
+    reported = {item.token for item in tries if item.is_entry and item.told is Told.RAN}
+    lost = sorted(reported - done)
+    figure = f"{len(lost)} lost of {len(reported)} told done {' '.join(lost[:3])}".rstrip()
     return PromiseResult("no entry is lost", not lost, figure)
 
 
@@ -68,14 +68,14 @@
     arrivals = [
         record.at - drained_at
         for record in records
-        if record.server == server and record.at > drained_at and record.phase in _ARRIVALS
+        if record.server == server and record.at > drained_at and record.phase in _ARRIVAL_PHASES
     ]
     last = max(arrivals, default=0.0)
     figure = f"last new work {last:.2f} s after the announcement (limit {limit_seconds:.0f} s)"
     return PromiseResult("no new work for a leaving server", last <= limit_seconds, figure)
 
 
-_ARRIVALS: Final = frozenset({Phase.BEGUN, Phase.REFUSED})
+_ARRIVAL_PHASES: Final = frozenset({Phase.BEGUN, Phase.REFUSED})
 
 
 def check_graceful_stop(
@@ -111,7 +111,7 @@
     arrivals = [
         (record.at - failed_at, record.server)
         for record in records
-        if record.at >= failed_at and record.phase in _ARRIVALS
+        if record.at >= failed_at and record.phase in _ARRIVAL_PHASES
     ]
     own = [at for at, name in arrivals if name == server]
     others = [at for at, name in arrivals if name in peers]
--- a/packages/lab/src/persimmonusher_lab/slopes_claims.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_claims.py
@@ -97,7 +97,7 @@
 
 
 def make_request(number: int) -> ClaimRequest:
-    """Make a claim on a key of its own."""
+    """Make a claim on a key that no other number has."""
     key = f"{number:032x}"
     token = f"instance-00001:{number:024x}"
     return ClaimRequest(key, token, f"{number:032x}", 1, KEY_WINDOW_SECONDS, 10.0)
--- a/packages/lab/src/persimmonusher_lab/throughput.py
+++ b/packages/lab/src/persimmonusher_lab/throughput.py
@@ -20,7 +20,7 @@
 from persimmonusher_lab.processes import ProcessRunner
 from persimmonusher_lab.throughput_client import ClientFigures, read_figures
 
-FLEETS: Final = (1, 3, 6)
+FLEET_SIZES: Final = (1, 3, 6)
 RATES: Final = (100.0, 300.0, 960.0, 0.0)
 """Requests per second; 0 is a closed loop, as many as the client's 32 connections get through."""
 ENTRY_RATE: Final = 100.0
@@ -46,8 +46,8 @@
 def run_throughput(output: Path, seconds: float) -> None:
     """Measure everything once, print a table, and write JSON."""
     measurements: list[Measurement] = []
-    for count in FLEETS:
-        measurements.extend(measure_fleet(count, seconds, with_direct=count == FLEETS[0]))
+    for count in FLEET_SIZES:
+        measurements.extend(measure_fleet(count, seconds, with_direct=count == FLEET_SIZES[0]))
     output.write_text(json.dumps([asdict(item) for item in measurements], indent=2) + "\n")
     for line in format_table(HEADER, list_rows(measurements)):
         print(line)
--- a/packages/lab/src/persimmonusher_lab/throughput_client.py
+++ b/packages/lab/src/persimmonusher_lab/throughput_client.py
@@ -1,7 +1,7 @@
 """A lean caller for measurements: raw HTTP/1.1 on persistent connections, open or closed loop.
 
 An ordinary client library costs as much processor time as the proxy under test and would be what
-is measured. Latency counts from the scheduled start, so a late start counts against the fleet.
+is measured. Latency counts from the scheduled start, so that a late start counts against the fleet.
 """
 
 import json
--- a/packages/lab/src/persimmonusher_lab/worth.py
+++ b/packages/lab/src/persimmonusher_lab/worth.py
@@ -43,7 +43,7 @@
     parts: tuple[Part, ...]
     prices: tuple[tuple[str, float], ...]
     """Each price's name and worth."""
-    asked: int
+    request_count: int
     unserved: tuple[tuple[str, int], ...]
     """How last tries of unserved requests ended, with their number."""
 
@@ -107,7 +107,7 @@
     """Attribute what the day lacks to unserved requests by number, the rest to late answers."""
     left = part.lost
     for cause, count in report.unserved:
-        lost = min(left, part.weight * count / max(1, report.asked))
+        lost = min(left, part.weight * count / max(1, report.request_count))
         left -= lost
         yield Loss(f"not served: {cause}", lost)
     yield Loss(LATE_ANSWERS, left)
--- a/packages/lab/tests/test_claims_matrix.py
+++ b/packages/lab/tests/test_claims_matrix.py
@@ -9,7 +9,7 @@
 from persimmonusher_lab.claims_matrix import find_storm, run_matrix
 from persimmonusher_model.identifiers import InstanceId
 
-STORMS = range(1_500)
+STORM_SEEDS = range(1_500)
 
 
 class ForgetfulRegister(Register):
@@ -47,7 +47,7 @@
         self.assertGreater(report.grants, report.cases / 2)
 
     def test_no_storm_of_faults_grants_a_key_twice(self) -> None:
-        self.assertIsNone(find_storm(STORMS))
+        self.assertIsNone(find_storm(STORM_SEEDS))
 
     def test_a_restarted_register_waits_also_for_a_token_it_has_read(self) -> None:
         # An entry ran twice with this seed: a register granted one claim and restarted. It read
@@ -56,13 +56,13 @@
         self.assertIsNone(find_storm([25_718]))
 
     def test_the_matrix_finds_a_register_that_forgets(self) -> None:
-        self.assertIsNotNone(find_storm(STORMS, register_type=ForgetfulRegister))
+        self.assertIsNotNone(find_storm(STORM_SEEDS, register_type=ForgetfulRegister))
 
     def test_the_matrix_finds_a_round_without_the_joint_majority(self) -> None:
-        self.assertIsNotNone(find_storm(STORMS, round_type=SingleMajorityRound))
+        self.assertIsNotNone(find_storm(STORM_SEEDS, round_type=SingleMajorityRound))
 
     def test_the_matrix_finds_a_dispatch_without_a_majority(self) -> None:
-        self.assertIsNotNone(find_storm(STORMS, round_type=MinorityRound))
+        self.assertIsNotNone(find_storm(STORM_SEEDS, round_type=MinorityRound))
 
 
 if __name__ == "__main__":
