--- a/packages/lab/src/persimmonusher_lab/demo_steps.py
+++ b/packages/lab/src/persimmonusher_lab/demo_steps.py
@@ -127,8 +127,8 @@
         def is_served() -> bool | None:
             number = next(numbers)
             address = options.entries[number % len(options.entries)]
-            told = caller.send(f"ready-{number}", True, address, 1, time.monotonic()).told
-            return told is Told.RAN or None
+            outcome = caller.send(f"ready-{number}", True, address, 1, time.monotonic()).told
+            return outcome is Told.RAN or None
 
         wait_for("a served entry", is_served, START_TIMEOUT_SECONDS, fleet.runner)
 
@@ -213,14 +213,14 @@
     options = LoadOptions(
         (plan.at(CALLERS_PORT),), HOSTS["housing"], 1.0, 1.0, work_ms=SLOW_WORK_MS, seed=97
     )
-    told: list[Told] = []
+    outcomes: list[Told] = []
     with Caller(options, report) as caller:
 
         def send(number: int) -> None:
             started = time.monotonic()
             is_entry = bool(number % 2)
             address = options.entries[0]
-            told.append(caller.send(f"slow-{number}", is_entry, address, 1, started).told)
+            outcomes.append(caller.send(f"slow-{number}", is_entry, address, 1, started).told)
 
         threads = [threading.Thread(target=send, args=(number,)) for number in range(SLOW_REQUESTS)]
         for thread in threads:
@@ -231,7 +231,7 @@
         for thread in threads:
             thread.join()
         code = process.wait(20.0)
-    ran = told.count(Told.RAN)
+    ran = outcomes.count(Told.RAN)
     figure = f"{ran} of {SLOW_REQUESTS} slow requests in flight were answered"
     return code, PromiseResult("slow work outlives the stop", ran == SLOW_REQUESTS, figure)
 
--- a/packages/lab/src/persimmonusher_lab/fleet.py
+++ b/packages/lab/src/persimmonusher_lab/fleet.py
@@ -66,7 +66,7 @@
 def choose_network() -> str:
     """Return the first three bytes of a random /24 network of 127.0.0.0/8 that isn't in use.
 
-    In use is a network in which `PEERS_PORT` of its first host is bound.
+    A network counts as in use if `PEERS_PORT` can't be bound at its host 1.
     """
     chooser = random.SystemRandom()
     while True:
--- a/packages/lab/src/persimmonusher_lab/main.py
+++ b/packages/lab/src/persimmonusher_lab/main.py
@@ -137,7 +137,7 @@
     folder: Annotated[Path, typer.Argument(help="Folder to write the traces to.")],
     run: Annotated[Path | None, typer.Option(help="Kept folder of a demo to record too.")] = None,
 ) -> None:
-    """Record the scenarios of all promises anew, each as a trace."""
+    """Run the scenarios of all promises and record each as a trace."""
     from persimmonusher_lab.trace import write_trace
     from persimmonusher_lab.trace_runs import record_run
     from persimmonusher_lab.trace_scenarios import SCENARIOS
--- a/packages/lab/src/persimmonusher_lab/membership_checks.py
+++ b/packages/lab/src/persimmonusher_lab/membership_checks.py
@@ -9,8 +9,8 @@
 from persimmonusher_model.identifiers import ServerId
 
 MIN_HEARD_SECONDS: Final = 12.0
-"""Twice the heartbeat timeout. No instance may hold a server as lost that entries have heard for so
-long and heard lately."""
+"""More than twice the heartbeat timeout. No instance may hold a server as lost whose announcements
+entries have received for longer than this, without a gap and until lately."""
 MAX_VIOLATIONS: Final = 20
 """One broken mechanism violates a rule at every later step, so only the first few are kept."""
 
--- a/packages/lab/src/persimmonusher_lab/slopes_claims.py
+++ b/packages/lab/src/persimmonusher_lab/slopes_claims.py
@@ -49,13 +49,13 @@
             "claim message there and back",
             measure_time(lambda _: _encode_and_decode(request), CALLS),
             "us",
-            "encode and decode of claim and vote, one register",
+            "encode and decode of one claim",
         ),
         Slope(
             "claim round",
             measure_time(lambda number: _run_round(roster, number), CALLS),
             "us",
-            "five votes counted, register sets of a known slot",
+            "five registers counted as missing, register sets of a known slot",
         ),
         Slope(
             "register sets of a new slot",
