--- a/packages/lab/src/persimmonusher_lab/main.py
+++ b/packages/lab/src/persimmonusher_lab/main.py
@@ -16,7 +16,9 @@
     address: str,
     ledger: Annotated[Path, typer.Option(help="File to append to.")],
     announce_to: Annotated[str, typer.Option(help="ip:port list, comma-separated.")] = "",
-    listen: Annotated[str, typer.Option(help="Own ip:port behind a relay.")] = "",
+    listen: Annotated[
+        str, typer.Option(help="ip:port to listen on, if a relay has the announced one.")
+    ] = "",
     failure_domain: str = "a",
     slots: int = 4,
     connection_limit: int = 400,
@@ -74,7 +76,7 @@
 def rank_losses(
     reports: Annotated[list[Path], typer.Argument(help="Reports that the bench wrote.")],
 ) -> None:
-    """Print what played days lost by cause, the largest first."""
+    """Print what simulated days lost by cause, the largest first."""
     from persimmonusher_lab.worth import describe_losses, read_report
 
     for path in reports:
@@ -85,7 +87,7 @@
 def demo(
     keep: Annotated[Path | None, typer.Option(help="Empty folder to keep reports in.")] = None,
 ) -> None:
-    """Show every promise once on real processes; exits non-zero when one broke."""
+    """Show every promise once on real processes; exits non-zero if one broke."""
     from persimmonusher_lab.demo import run_demo
 
     sys.exit(run_demo(keep))
@@ -122,9 +124,9 @@
 @app.command()
 def throughput(
     output: Annotated[Path, typer.Option(help="JSON file to write.")] = Path("throughput.json"),
-    seconds: Annotated[float, typer.Option(max=120.0, help="Of each load.")] = 4.0,
+    seconds: Annotated[float, typer.Option(max=120.0, help="Seconds of each load.")] = 4.0,
 ) -> None:
-    """Measure requests a second on one core and the latency added by 1, 3 and 6 instances."""
+    """Measure requests per second on one core and the latency added by 1, 3 and 6 instances."""
     from persimmonusher_lab.throughput import run_throughput
 
     run_throughput(output, seconds)
@@ -135,7 +137,7 @@
     folder: Annotated[Path, typer.Argument(help="Folder to write the traces to.")],
     run: Annotated[Path | None, typer.Option(help="Kept folder of a demo to record too.")] = None,
 ) -> None:
-    """Record the scenarios of all promises anew, each as a trace."""
+    """Run the scenarios of all promises and record each as a trace."""
     from persimmonusher_lab.trace import write_trace
     from persimmonusher_lab.trace_runs import record_run
     from persimmonusher_lab.trace_scenarios import SCENARIOS
@@ -154,7 +156,7 @@
     files: list[Path],
     strict: Annotated[bool, typer.Option(help="Compare results that aren't stated too.")] = False,
 ) -> None:
-    """Replay traces; exits non-zero when a stated outcome differs."""
+    """Replay traces; exits non-zero if a stated outcome differs."""
     from persimmonusher_lab.trace import read_trace
     from persimmonusher_lab.trace import replay as replay_trace
 
--- a/packages/lab/src/persimmonusher_lab/promises.py
+++ b/packages/lab/src/persimmonusher_lab/promises.py
@@ -1,4 +1,4 @@
-"""Checks of the promises over what callers were told and what the servers really ran."""
+"""Checks of the fleet's promises: callers' outcomes against what the servers really ran."""
 
 from bisect import bisect_right
 from collections import Counter
@@ -11,10 +11,11 @@
 
 DETECTION_WINDOW_SECONDS: Final = 1.0
 QUIET_WINDOWS: Final = 4
-"""Windows in a row that must be quiet: in one alone a server may get nothing by chance."""
+"""Consecutive windows without work, since a server may get nothing in a single one by chance. Not
+read by `find_detection_seconds`, which decides on one window."""
 DETECTED_SHARE: Final = 0.2
-"""Below this share of its peers' mean a server counts as no longer receiving work; readmission
-probes stay below it."""
+"""A server that receives less than this share of its peers' mean counts as detected; readmission
+probes alone stay below it."""
 
 
 @dataclass(frozen=True)
@@ -34,11 +35,11 @@
 
 
 def check_not_run(tries: Sequence[Try], records: Sequence[LedgerRecord]) -> PromiseResult:
-    """Check that no request that was told not run was run."""
+    """Check that no request whose caller got the answer "not run" was begun at a server."""
     begun = {record.request_id for record in records if record.phase is Phase.BEGUN}
-    told = [item for item in tries if item.told is Told.NOT_RUN]
-    false = [item.request_id for item in told if item.request_id in begun]
-    figure = f"{len(false)} false of {len(told)} not-run answers {' '.join(false[:3])}".rstrip()
+    not_run = [item for item in tries if item.told is Told.NOT_RUN]
+    false = [item.request_id for item in not_run if item.request_id in begun]
+    figure = f"{len(false)} false of {len(not_run)} not-run answers {' '.join(false[:3])}".rstrip()
     return PromiseResult("'not run' is true", not false, figure)
 
 
@@ -52,29 +53,29 @@
 
 
 def check_not_lost(tries: Sequence[Try], records: Sequence[LedgerRecord]) -> PromiseResult:
-    """Check that no entry that its caller was told is done is missing at the servers."""
+    """Check that a server finished each entry that was reported to its caller as done."""
     done = {record.token for record in records if record.phase is Phase.DONE}
-    told = {item.token for item in tries if item.is_entry and item.told is Told.RAN}
-    lost = sorted(told - done)
-    figure = f"{len(lost)} lost of {len(told)} told done {' '.join(lost[:3])}".rstrip()
+    reported = {item.token for item in tries if item.is_entry and item.told is Told.RAN}
+    lost = sorted(reported - done)
+    figure = f"{len(lost)} lost of {len(reported)} told done {' '.join(lost[:3])}".rstrip()
     return PromiseResult("no entry is lost", not lost, figure)
 
 
 def check_drain(
     records: Sequence[LedgerRecord], server: str, drained_at: float, limit_seconds: float
 ) -> PromiseResult:
-    """Check that a leaving server receives nothing once a few seconds have passed."""
+    """Check that a draining server receives no work later than `limit_seconds` after it said so."""
     arrivals = [
         record.at - drained_at
         for record in records
-        if record.server == server and record.at > drained_at and record.phase in _ARRIVALS
+        if record.server == server and record.at > drained_at and record.phase in _ARRIVAL_PHASES
     ]
     last = max(arrivals, default=0.0)
     figure = f"last new work {last:.2f} s after the announcement (limit {limit_seconds:.0f} s)"
     return PromiseResult("no new work for a leaving server", last <= limit_seconds, figure)
 
 
-_ARRIVALS: Final = frozenset({Phase.BEGUN, Phase.REFUSED})
+_ARRIVAL_PHASES: Final = frozenset({Phase.BEGUN, Phase.REFUSED})
 
 
 def check_graceful_stop(
@@ -84,7 +85,7 @@
     stopped_at: float,
     exit_code: int | None,
 ) -> PromiseResult:
-    """Check that a graceful shutdown cut off no request in flight."""
+    """Check that a graceful shutdown cut off no request in flight and exited with code 0."""
     begun = {record.request_id for record in records if record.phase is Phase.BEGUN}
     cut = [
         item.request_id
@@ -101,16 +102,16 @@
 def find_detection_seconds(
     records: Sequence[LedgerRecord], server: str, peers: Collection[str], failed_at: float
 ) -> float | None:
-    """Return the time until the server stopped receiving its share; None when it never did.
+    """Return the seconds until the server stopped receiving its share; None if it never did.
 
-    That is the last arrival in the first window in which it received less than `DETECTED_SHARE` of
-    its peers' mean: an upper bound, since the last one may be a probe. The window is long enough
-    that a moment of luck doesn't count as detection.
+    That is the time of its last arrival up to the end of the first window in which it received
+    less than `DETECTED_SHARE` of its peers' mean. It is an upper bound, since the last arrival may
+    be a readmission probe. The window is long enough that a short lull isn't taken for detection.
     """
     arrivals = [
         (record.at - failed_at, record.server)
         for record in records
-        if record.at >= failed_at and record.phase in _ARRIVALS
+        if record.at >= failed_at and record.phase in _ARRIVAL_PHASES
     ]
     own = [at for at, name in arrivals if name == server]
     others = [at for at, name in arrivals if name in peers]
@@ -129,7 +130,7 @@
 
 
 def count_outcomes(tries: Sequence[Try]) -> Mapping[str, Counter[str]]:
-    """Count tries by kind of work and by what the caller was told."""
+    """Count tries by kind of work and by the outcome that the caller saw."""
     counts: dict[str, Counter[str]] = {"lookup": Counter(), "entry": Counter()}
     for item in tries:
         counts["entry" if item.is_entry else "lookup"][item.told.value] += 1
@@ -137,6 +138,6 @@
 
 
 def count_final_outcomes(tries: Sequence[Try]) -> Mapping[str, Counter[str]]:
-    """Count pieces of work by what the caller was told last."""
+    """Count pieces of work by kind and by the outcome of their last try."""
     last = {item.token: item for item in sorted(tries, key=lambda item: item.number)}
     return count_outcomes(list(last.values()))
--- a/packages/lab/tests/test_claims_matrix.py
+++ b/packages/lab/tests/test_claims_matrix.py
@@ -1,4 +1,4 @@
-"""The claims matrix finds no fault in the product, and finds each mechanism that is taken out."""
+"""The claims matrix finds no violation in the product, and one if a mechanism is taken out."""
 
 import unittest
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 from persimmonusher_lab.claims_matrix import find_storm, run_matrix
 from persimmonusher_model.identifiers import InstanceId
 
-STORMS = range(1_500)
+STORM_SEEDS = range(1_500)
 
 
 class ForgetfulRegister(Register):
@@ -47,22 +47,22 @@
         self.assertGreater(report.grants, report.cases / 2)
 
     def test_no_storm_of_faults_grants_a_key_twice(self) -> None:
-        self.assertIsNone(find_storm(STORMS))
+        self.assertIsNone(find_storm(STORM_SEEDS))
 
     def test_a_restarted_register_waits_also_for_a_token_it_has_read(self) -> None:
-        # A breeder's entry ran twice. A register granted one claim and restarted; it read back a
-        # rival's record from one peer and, as it now held that token, granted the rival before
-        # the other peers had told it of the claim it had granted.
+        # An entry ran twice with this seed: a register granted one claim and restarted. It read
+        # back a rival's record from one peer and, since it then held that token, granted the
+        # rival before the other peers had sent it the claim that it had granted.
         self.assertIsNone(find_storm([25_718]))
 
     def test_the_matrix_finds_a_register_that_forgets(self) -> None:
-        self.assertIsNotNone(find_storm(STORMS, register_type=ForgetfulRegister))
+        self.assertIsNotNone(find_storm(STORM_SEEDS, register_type=ForgetfulRegister))
 
     def test_the_matrix_finds_a_round_without_the_joint_majority(self) -> None:
-        self.assertIsNotNone(find_storm(STORMS, round_type=SingleMajorityRound))
+        self.assertIsNotNone(find_storm(STORM_SEEDS, round_type=SingleMajorityRound))
 
     def test_the_matrix_finds_a_dispatch_without_a_majority(self) -> None:
-        self.assertIsNotNone(find_storm(STORMS, round_type=MinorityRound))
+        self.assertIsNotNone(find_storm(STORM_SEEDS, round_type=MinorityRound))
 
 
 if __name__ == "__main__":
