--- a/packages/node/src/persimmonusher_node/claims.py
+++ b/packages/node/src/persimmonusher_node/claims.py
@@ -195,7 +195,7 @@
         """Release the key at the registers in the background."""
         self._settle(key, None)
 
-    def give_up(self, key: ClaimKey) -> None:
+    def record_unknown(self, key: ClaimKey) -> None:
         """Record an unknown outcome at the registers in the background."""
         self._settle(key, RecordState.UNKNOWN)
 
--- a/packages/node/src/persimmonusher_node/keyed.py
+++ b/packages/node/src/persimmonusher_node/keyed.py
@@ -87,7 +87,7 @@
         if answer is not None and answer.outcome is CallerOutcome.NOT_RUN:
             self._claims.release(key)
         elif answer is None or answer.outcome is not CallerOutcome.RAN or answer.stream is not None:
-            self._claims.give_up(key)
+            self._claims.record_unknown(key)
         else:
             self._claims.finish(key, make_stored_answer(answer))
 
--- a/packages/node/src/persimmonusher_node/memory.py
+++ b/packages/node/src/persimmonusher_node/memory.py
@@ -114,7 +114,7 @@
         """Forget the claim."""
         self._claims.pop(key, None)
 
-    def give_up(self, key: ClaimKey) -> None:
+    def record_unknown(self, key: ClaimKey) -> None:
         """Record that the outcome is unknown."""
         self._settle(key, ClaimResult(ClaimStatus.UNKNOWN))
 
--- a/packages/node/src/persimmonusher_node/ports.py
+++ b/packages/node/src/persimmonusher_node/ports.py
@@ -185,7 +185,7 @@
         """Release the key of a request that was certainly not run; like `finish`, needn't wait."""
 
     @abstractmethod
-    def give_up(self, key: ClaimKey) -> None:
+    def record_unknown(self, key: ClaimKey) -> None:
         """Record that the outcome is unknown; a resend is answered so and is never run."""
 
 
--- a/packages/node/src/persimmonusher_node/tiers/entry_ports.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_ports.py
@@ -99,5 +99,5 @@
     def release(self, key: ClaimKey) -> None:
         """Do nothing: no claim was granted."""
 
-    def give_up(self, key: ClaimKey) -> None:
+    def record_unknown(self, key: ClaimKey) -> None:
         """Do nothing: no claim was granted."""
