--- a/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
@@ -28,7 +28,11 @@
 from persimmonusher_node.settings import Settings
 from persimmonusher_node.shutdown import GracefulStop, StopSignal
 from persimmonusher_node.tiers.edge import Edge
-from persimmonusher_node.tiers.entry_ports import FollowedMembership, NoClaims, RegisteredDirectory
+from persimmonusher_node.tiers.entry_ports import (
+    FollowedMembership,
+    RefusingClaims,
+    RegisteredDirectory,
+)
 from persimmonusher_node.tiers.follower import KeeperFollower
 from persimmonusher_node.tiers.keeper_quotas import KeeperQuotas
 from persimmonusher_node.tiers.peer_notices import PeerNoticeService
@@ -79,7 +83,7 @@
             view,
             RegisteredDirectory(view),
             FollowedMembership(own, self.follower),
-            NoClaims(),
+            RefusingClaims(),
             quotas=quotas,
         )
         self.plane = DataPlane(settings, parts, observer, clock, random, edge.dialect)
--- a/packages/node/src/persimmonusher_node/tiers/entry_ports.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_ports.py
@@ -81,7 +81,7 @@
         return max(1, self._follower.entries)
 
 
-class NoClaims(KeyClaims):
+class RefusingClaims(KeyClaims):
     """Refuses all claims, so that keyed requests aren't run.
 
     Claims need registers on peers that know each other, and entries that follow a keeper don't.
