--- a/packages/node/src/persimmonusher_node/callers.py
+++ b/packages/node/src/persimmonusher_node/callers.py
@@ -184,7 +184,7 @@
         raise RefusedCall(answer)
 
     def _make_unidentified(self, request_id: RequestId) -> Answer:
-        if not self._entry.may_deny():
+        if not self._entry.can_answer_no_route():
             return refuse_as_outdated(request_id)
         message = "the request carries no API key that is known"
         answer = make_error(AnswerCode.UNKNOWN_API_KEY, message, request_id)
@@ -256,7 +256,7 @@
         if not self._entry.is_ready():
             message = "this instance has no configuration yet"
             return make_error(AnswerCode.NO_CONFIGURATION, message, request_id)
-        if not self._entry.may_deny():
+        if not self._entry.can_answer_no_route():
             return refuse_as_outdated(request_id)
         message = f"no route for host {host!r} and path {path!r}"
         return make_error(AnswerCode.NO_ROUTE, message, request_id)
--- a/packages/node/src/persimmonusher_node/entry.py
+++ b/packages/node/src/persimmonusher_node/entry.py
@@ -58,7 +58,7 @@
         """Return the service that a request is for and the rule of its route, or None."""
         return self._services.match(host, path)
 
-    def may_deny(self) -> bool:
+    def can_answer_no_route(self) -> bool:
         """Return whether this instance may answer `no route`.
 
         Guards against an instance that lost contact with the keepers: a route that it doesn't know
