--- a/packages/node/src/persimmonusher_node/applied_document.py
+++ b/packages/node/src/persimmonusher_node/applied_document.py
@@ -65,7 +65,7 @@
         """Return the profile of one of the document's services, or None for any other."""
         return self._profiles.get(service)
 
-    def may_know(self, service: ServiceName) -> bool:
+    def may_exist(self, service: ServiceName) -> bool:
         """Return whether the service may be in use; before the first document, any service may."""
         return self.document is None or service in self._profiles
 
--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -126,10 +126,10 @@
         document = self._applied.document
         return None if document is None else document.organisations
 
-    def may_know(self, service: ServiceName) -> bool:
+    def may_exist(self, service: ServiceName) -> bool:
         """Return whether the configuration names the service or may still come to name it."""
         document = self._applied.document
-        return document is None or document.may_know(service)
+        return document is None or document.may_exist(service)
 
     @property
     def servers(self) -> RegisteredServers:
--- a/packages/node/src/persimmonusher_node/tiers/keeper_control.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_control.py
@@ -72,7 +72,7 @@
         take over the address of a working server. If the service is added later, the server's next
         heartbeat is accepted.
         """
-        if not self._view.may_know(ServiceName(registration.service)):
+        if not self._view.may_exist(ServiceName(registration.service)):
             message = f"{registration.server_id}: there is no service {registration.service!r}"
             raise UsherError(ErrorCode.NOT_FOUND, message)
         known = self._find(registration.server_id)
