--- a/packages/node/src/persimmonusher_node/collector.py
+++ b/packages/node/src/persimmonusher_node/collector.py
@@ -8,8 +8,8 @@
 collections between those of each older one."""
 
 
-def rest_collector() -> None:
-    """Disable collections until `calm_collector`; call it before the modules are loaded.
+def disable_collector() -> None:
+    """Disable collections until `configure_collector`; call it before the modules are loaded.
 
     Objects made by loading modules stay in use, so collections would free nothing. They would only
     lengthen the start, during which every caller of a killed instance loses its request.
@@ -17,7 +17,7 @@
     gc.disable()
 
 
-def calm_collector() -> None:
+def configure_collector() -> None:
     """Exclude loaded modules from all collections, and collect seldom; call it once, at the start.
 
     Guards against full collections that walk all loaded modules while every request waits, every
--- a/packages/node/src/persimmonusher_node/process.py
+++ b/packages/node/src/persimmonusher_node/process.py
@@ -4,7 +4,7 @@
 
 from persimmonusher_model.errors import ErrorCode, UsherError
 from persimmonusher_node.clock import SystemClock
-from persimmonusher_node.collector import calm_collector
+from persimmonusher_node.collector import configure_collector
 from persimmonusher_node.daemon import Daemon
 from persimmonusher_node.fleet import FleetParts
 from persimmonusher_node.logs import LoggingObserver, configure_logs
@@ -26,5 +26,5 @@
         parts = FleetParts(settings, channels, clock).make()
         observer = LoggingObserver(clock, settings.log_level)
         daemon = Daemon(settings, parts, observer, clock, SystemRandom())
-        calm_collector()
+        configure_collector()
         return daemon.run(stop)
--- a/packages/node/src/persimmonusher_node/tiers/process.py
+++ b/packages/node/src/persimmonusher_node/tiers/process.py
@@ -7,7 +7,7 @@
 
 from persimmonusher_model.clock import Clock
 from persimmonusher_node.clock import SystemClock
-from persimmonusher_node.collector import calm_collector
+from persimmonusher_node.collector import configure_collector
 from persimmonusher_node.logs import LoggingObserver, configure_logs
 from persimmonusher_node.peers import ChannelPool
 from persimmonusher_node.settings import Role, Settings
@@ -32,7 +32,7 @@
     stop.install()
     with ChannelPool(settings.peer_token) as channels:
         daemon = make_daemon(settings, edge, channels, clock, SystemRandom())
-        calm_collector()
+        configure_collector()
         with SettingsWatch(path, settings, daemon.reload):
             return daemon.run(stop)
 
