--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -188,7 +188,7 @@
             listener(self.revision(), touched)
         self._announce()
 
-    def hear_revision(self, address: str, revision: Revision) -> None:
+    def record_peer_revision(self, address: str, revision: Revision) -> None:
         """Record the revision of the instance at this peer address; pull from it if it is newer."""
         if revision > self.revision():
             self._announced_revisions[address] = max(
@@ -329,5 +329,5 @@
         """Record a peer's revision, and pull from the peer if it is newer."""
         request = await stream.recv_message()
         assert request is not None
-        self._client.hear_revision(request.address, Revision(request.revision))
+        self._client.record_peer_revision(request.address, Revision(request.revision))
         await stream.send_message(pb.Ack())
--- a/packages/node/src/persimmonusher_node/fleet.py
+++ b/packages/node/src/persimmonusher_node/fleet.py
@@ -39,7 +39,7 @@
             clock,
             random,
             read_revision=self.configuration.revision,
-            hear_revision=self.configuration.hear_revision,
+            record_peer_revision=self.configuration.record_peer_revision,
         )
         self.configuration.follow_peers(self._list_peer_addresses)
         self.directory = GossipDirectory(self.membership)
--- a/packages/node/src/persimmonusher_node/membership.py
+++ b/packages/node/src/persimmonusher_node/membership.py
@@ -43,12 +43,12 @@
     ...     clock,
     ...     Random(),
     ...     read_revision=client.revision,
-    ...     hear_revision=client.hear_revision,
+    ...     record_peer_revision=client.record_peer_revision,
     ... )  # doctest: +SKIP
     >>> with membership: ...  # doctest: +SKIP
 
     `read_revision` returns the configuration revision in force here, and is called at each tick.
-    `hear_revision(peer_address, revision)` is called when another instance has a newer one.
+    `record_peer_revision(peer_address, revision)` is called when another instance has a newer one.
     Callbacks added with `on_change` and `on_servers_change` are called where the change is made: on
     the loop, or in the green thread that announces. None of them may block. The constructor opens
     no socket; `start` binds it and needs the loop.
@@ -60,14 +60,14 @@
         clock: Clock,
         random: Random,
         read_revision: Callable[[], Revision],
-        hear_revision: Callable[[str, Revision], None],
+        record_peer_revision: Callable[[str, Revision], None],
         limits: MembershipLimits | None = None,
     ) -> None:
         self._clock = clock
         self._address = settings.listen.peers
         self._codec = MembershipCodec(settings.peer_token)
         self._read_revision = read_revision
-        self._hear_revision = hear_revision
+        self._record_peer_revision = record_peer_revision
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.Handle | None = None
         self._on_change: list[Callable[[], None]] = []
@@ -188,7 +188,7 @@
             case NewerRevision():
                 member = self.fleet.members.find(effect.instance)
                 if member is not None:
-                    self._hear_revision(member.peer_address, effect.revision)
+                    self._record_peer_revision(member.peer_address, effect.revision)
             case PathCut():
                 log.warning("instance answers through others only", instance=effect.instance)
             case PathRestored():
