--- a/packages/node/src/persimmonusher_node/applied_document.py
+++ b/packages/node/src/persimmonusher_node/applied_document.py
@@ -31,7 +31,7 @@
         self.document: RoutingDocument | None = None
         self.organisations: OrganisationBook | None = None
         """None where requests carry no API keys."""
-        self.take_limits: Callable[[CallerLimits], None] = ignore_limits
+        self.on_limits_changed: Callable[[CallerLimits], None] = ignore_limits
         """Called with the limits on callers' requests each time that a document comes into
         force."""
 
@@ -54,7 +54,7 @@
         self._profiles = self._make_profiles(document)
         known = document.organisations
         self.organisations = None if known is None else OrganisationBook(known)
-        self.take_limits(document.limits)
+        self.on_limits_changed(document.limits)
         logger.info("document-in-force", version=document.version, revision=record.revision)
 
     def find_rule(self, host: str, path: str) -> RouteRule | None:
--- a/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
@@ -122,7 +122,7 @@
         application = self.plane.application
         callers = HttpListener(listen.callers, application, make_listener_limits(settings.limits))
         application.count_connections = lambda: callers.connections
-        self._document.take_limits = lambda limits: callers.replace_limits(
+        self._document.on_limits_changed = lambda limits: callers.replace_limits(
             narrow_limits(make_listener_limits(settings.limits), limits)
         )
         with ExitStack() as stack:
