--- a/packages/lab/src/persimmonusher_lab/configuration_measure.py
+++ b/packages/lab/src/persimmonusher_lab/configuration_measure.py
@@ -75,7 +75,9 @@
     applied = AppliedConfiguration()
     batch = source.collect_since(Revision(0))
     records = tuple(decode_record(encode_record(record)) for record in batch.records)
-    applied.take(type(batch)(batch.lineage, batch.since, batch.revision, records, batch.whole))
+    applied.apply_batch(
+        type(batch)(batch.lineage, batch.since, batch.revision, records, batch.whole)
+    )
     return applied
 
 
--- a/packages/node/src/persimmonusher_node/applied_configuration.py
+++ b/packages/node/src/persimmonusher_node/applied_configuration.py
@@ -40,7 +40,7 @@
         """Return the name of the profile that the service runs under."""
         return self._profile_names.get(service)
 
-    def take(self, batch: Batch) -> Sequence[ObjectKey]:
+    def apply_batch(self, batch: Batch) -> Sequence[ObjectKey]:
         """Apply a batch and return the objects that it touched."""
         if batch.lineage and self.store.lineage not in ("", batch.lineage):
             logger.error(
@@ -64,12 +64,12 @@
             elif key.kind is ObjectKind.DOCUMENT:
                 self._derive_document(key)
             elif key.kind is ObjectKind.SERVER:
-                self.servers.take(key.name, self.store.find_live(key))
+                self.servers.apply_record(key.name, self.store.find_live(key))
 
     def _derive_document(self, key: ObjectKey) -> None:
         record = self.store.find_live(key)
         if self.document is not None and record is not None:
-            self.document.take(record)
+            self.document.apply_document(record)
 
     def _derive_profile(self, key: ObjectKey) -> None:
         """Parse a profile, or keep the previous one if this instance can't parse it.
--- a/packages/node/src/persimmonusher_node/applied_document.py
+++ b/packages/node/src/persimmonusher_node/applied_document.py
@@ -35,7 +35,7 @@
         """Called with the limits on callers' requests each time that a document comes into
         force."""
 
-    def take(self, record: Record) -> None:
+    def apply_document(self, record: Record) -> None:
         """Put a committed document in force, or keep the previous one if it can't be parsed here.
 
         Guards against a failure during a rolling upgrade: a keeper of a newer version may have
--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -178,10 +178,10 @@
         """Return the sources: known keepers, seeds and partners."""
         return self._sources
 
-    def take(self, batch: Batch) -> None:
+    def apply_batch(self, batch: Batch) -> None:
         """Apply a committed batch from the local keeper or a peer; an old one changes nothing."""
         before = self.revision()
-        touched = self._applied.take(batch)
+        touched = self._applied.apply_batch(batch)
         if self.revision() == before:
             return
         for listener in self._listeners:
@@ -270,7 +270,7 @@
             logger.error("unreadable-configuration", source=address, error=repr(error))
         else:
             self._sources.report(address, True, self._clock.monotonic())
-            self.take(batch)
+            self.apply_batch(batch)
         finally:
             self._pull_started_at.pop(address, None)
         self._pull_announced()
--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -328,7 +328,7 @@
         self._calls.answer(keeper, output.verdicts)
         self._log_leader(keeper)
         if keeper.configuration.revision > self._client.revision():
-            self._client.take(keeper.configuration.collect_since(self._client.revision()))
+            self._client.apply_batch(keeper.configuration.collect_since(self._client.revision()))
 
     def _log_leader(self, keeper: ConfigurationKeeper) -> None:
         """Log the leader whenever it changes."""
--- a/packages/node/src/persimmonusher_node/registered_servers.py
+++ b/packages/node/src/persimmonusher_node/registered_servers.py
@@ -18,7 +18,7 @@
         self._by_service: dict[str, dict[str, Registration]] = {}
         self._versions: dict[str, int] = {}
 
-    def take(self, server_id: str, record: Record | None) -> None:
+    def apply_record(self, server_id: str, record: Record | None) -> None:
         """Apply a server's latest record; None or a stopped server removes its registration."""
         previous = self._by_id.pop(server_id, None)
         if previous is not None:
--- a/packages/node/src/persimmonusher_node/tiers/follower.py
+++ b/packages/node/src/persimmonusher_node/tiers/follower.py
@@ -313,7 +313,7 @@
         if part.last:
             records, self._records = tuple(self._records), []
             since, revision = Revision(part.since), Revision(part.revision)
-            self._view.take(Batch(part.lineage, since, revision, records, part.whole))
+            self._view.apply_batch(Batch(part.lineage, since, revision, records, part.whole))
             self.lease.record_revision(self._view.revision())
 
     def _check_better_keeper(self, place: KeeperPlace, followed: float) -> None:
--- a/packages/node/tests/test_keeper_fleet.py
+++ b/packages/node/tests/test_keeper_fleet.py
@@ -245,11 +245,11 @@
         configuration = Configuration("fleet")
         configuration.apply(make_change("c1", ObjectKind.PROFILE, "lookups", 0, {}))
         with mock.patch.object(configuration_client, "PULL_INTERVAL_SECONDS", 1_000.0):
-            first.client.take(configuration.collect_since(Revision(0)))
+            first.client.apply_batch(configuration.collect_since(Revision(0)))
             self.wait_until(lambda: second.client.revision() == 1)
             eventlet.sleep(0.3)
             configuration.apply(make_change("c2", ObjectKind.PROFILE, "other", 0, {}))
-            first.client.take(configuration.collect_since(Revision(1)))
+            first.client.apply_batch(configuration.collect_since(Revision(1)))
             self.wait_until(lambda: second.client.revision() == 2, seconds=1.0)
 
     def test_the_log_is_compacted_between_turns_and_a_late_keeper_takes_the_snapshot(self) -> None:
