--- a/packages/node/src/persimmonusher_node/logs.py
+++ b/packages/node/src/persimmonusher_node/logs.py
@@ -109,7 +109,7 @@
             revision=record.revision,
             **describe_freshness(record.freshness),
             steps=[describe_step(step) for step in record.steps],
-            seconds=round(finished.whole, 4),
+            seconds=round(finished.total_seconds, 4),
             lines_left_out=self._budget.take_left_out(),
         )
 
--- a/packages/node/src/persimmonusher_node/metrics.py
+++ b/packages/node/src/persimmonusher_node/metrics.py
@@ -91,8 +91,8 @@
         """Count one request."""
         record = finished.record
         request_buckets, added_buckets = self._find_buckets(record.service, record.request_class)
-        request_buckets.observe(finished.whole)
-        added_buckets.observe(max(0.0, finished.whole - finished.server))
+        request_buckets.observe(finished.total_seconds)
+        added_buckets.observe(max(0.0, finished.total_seconds - finished.server_seconds))
         code = "" if finished.code is None else finished.code.value
         self._request_tally[record.service, finished.outcome.value, code] += 1
         for step in record.steps:
--- a/packages/node/src/persimmonusher_node/observer.py
+++ b/packages/node/src/persimmonusher_node/observer.py
@@ -15,10 +15,10 @@
     record: RequestRecord
     outcome: CallerOutcome
     code: AnswerCode | None
-    whole: float
+    total_seconds: float
     """From the request's arrival to its answer."""
-    server: float
-    """The part of `whole` spent waiting for backend servers."""
+    server_seconds: float
+    """The part of `total_seconds` spent waiting for backend servers."""
 
 
 class RequestObserver(ABC):
