--- a/packages/node/src/persimmonusher_node/entry.py
+++ b/packages/node/src/persimmonusher_node/entry.py
@@ -84,7 +84,7 @@
         organisation = call.organisation
         if organisation is None or organisation.quota is None:
             return self._forward(call, live)
-        verdict = self._quotas.take(organisation)
+        verdict = self._quotas.acquire(organisation)
         if verdict is not QuotaVerdict.GRANTED:
             return self._refuse_quota(verdict, organisation, organisation.quota, call)
         answer: Answer | None = None
@@ -93,7 +93,7 @@
             return answer
         finally:
             if answer is not None and answer.outcome is CallerOutcome.NOT_RUN:
-                self._quotas.give_back(organisation)
+                self._quotas.release(organisation)
 
     def _refuse_quota(
         self, verdict: QuotaVerdict, organisation: Organisation, quota: RequestQuota, call: Call
--- a/packages/node/src/persimmonusher_node/parts.py
+++ b/packages/node/src/persimmonusher_node/parts.py
@@ -10,7 +10,7 @@
     Membership,
     Quotas,
     ServerDirectory,
-    Unlimited,
+    UnlimitedQuotas,
 )
 from persimmonusher_node.records import RecordRing
 from persimmonusher_node.services import ServiceBook
@@ -34,4 +34,4 @@
     claims: KeyClaims
     components: tuple[Component, ...] = ()
     make_more: Callable[[ServiceBook, RecordRing], Sequence[Component]] = make_no_components
-    quotas: Quotas = field(default_factory=Unlimited)
+    quotas: Quotas = field(default_factory=UnlimitedQuotas)
--- a/packages/node/src/persimmonusher_node/ports.py
+++ b/packages/node/src/persimmonusher_node/ports.py
@@ -202,20 +202,20 @@
     """The organisations' quotas; each bounds the requests of all instances together."""
 
     @abstractmethod
-    def take(self, organisation: Organisation) -> QuotaVerdict:
+    def acquire(self, organisation: Organisation) -> QuotaVerdict:
         """Count one request against its organisation's quota; may wait."""
 
     @abstractmethod
-    def give_back(self, organisation: Organisation) -> None:
+    def release(self, organisation: Organisation) -> None:
         """Uncount a request that was granted but not run."""
 
 
-class Unlimited(Quotas):
+class UnlimitedQuotas(Quotas):
     """No quotas, for an instance whose configuration has none."""
 
-    def take(self, organisation: Organisation) -> QuotaVerdict:
+    def acquire(self, organisation: Organisation) -> QuotaVerdict:
         """Grant every request."""
         return QuotaVerdict.GRANTED
 
-    def give_back(self, organisation: Organisation) -> None:
+    def release(self, organisation: Organisation) -> None:
         """Do nothing: nothing is counted."""
--- a/packages/node/src/persimmonusher_node/tiers/keeper_quotas.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_quotas.py
@@ -59,7 +59,7 @@
         self._requested_at: OrderedDict[CallerId, float] = OrderedDict()
         """Time of each organisation's latest request, the oldest first."""
 
-    def take(self, organisation: Organisation) -> QuotaVerdict:
+    def acquire(self, organisation: Organisation) -> QuotaVerdict:
         """Use the held token, or else ask the keepers for one and wait for the answer."""
         name = organisation.name
         expects_more = self._note_request(name) and name not in self._asking
@@ -69,7 +69,7 @@
             return QuotaVerdict.GRANTED
         return run_coroutine(self._ask(name, expects_more, ahead_only=False))
 
-    def give_back(self, organisation: Organisation) -> None:
+    def release(self, organisation: Organisation) -> None:
         """Keep the token of a request that was not run for the next one, unless one is held."""
         ends = self._clock.monotonic() + RETURNED_TOKEN_SECONDS
         self._held.setdefault(organisation.name, ends)
--- a/packages/node/tests/entry_harness.py
+++ b/packages/node/tests/entry_harness.py
@@ -207,11 +207,11 @@
         self.verdict = QuotaVerdict.GRANTED
         self.taken: Counter[str] = Counter()
 
-    def take(self, organisation: Organisation) -> QuotaVerdict:
+    def acquire(self, organisation: Organisation) -> QuotaVerdict:
         self.taken[organisation.name] += 1
         return self.verdict
 
-    def give_back(self, organisation: Organisation) -> None:
+    def release(self, organisation: Organisation) -> None:
         self.taken[organisation.name] -= 1
 
 
--- a/packages/node/tests/test_keeper_quotas.py
+++ b/packages/node/tests/test_keeper_quotas.py
@@ -23,4 +23,4 @@
         with ChannelPool("peers") as channels:
             quotas = KeeperQuotas("e1", list, channels, SystemClock())
             with eventlet.Timeout(ASK_TIMEOUT_SECONDS + MARGIN_SECONDS):
-                self.assertIs(quotas.take(ACME), QuotaVerdict.UNKNOWN)
+                self.assertIs(quotas.acquire(ACME), QuotaVerdict.UNKNOWN)
--- a/packages/node/tests/test_tiers.py
+++ b/packages/node/tests/test_tiers.py
@@ -327,7 +327,7 @@
         verdicts = []
         for number in range(requests):
             entry = self.entries[number % len(self.entries)]
-            verdicts.append(entry.quotas.take(self.find_organisation(entry)))
+            verdicts.append(entry.quotas.acquire(self.find_organisation(entry)))
         self.assertNotIn(QuotaVerdict.UNKNOWN, verdicts)
         return verdicts.count(QuotaVerdict.GRANTED)
 
@@ -354,8 +354,8 @@
         self.put_quota(1000)
         entry = self.entries[0]
         organisation = self.find_organisation(entry)
-        self.wait_for(lambda: entry.quotas.take(organisation) and entry.quotas._held, 15.0)
+        self.wait_for(lambda: entry.quotas.acquire(organisation) and entry.quotas._held, 15.0)
         for keeper in self.keepers:
             keeper.stack.close()
-        self.assertIs(entry.quotas.take(organisation), QuotaVerdict.GRANTED)
-        self.assertIs(entry.quotas.take(organisation), QuotaVerdict.UNKNOWN)
+        self.assertIs(entry.quotas.acquire(organisation), QuotaVerdict.GRANTED)
+        self.assertIs(entry.quotas.acquire(organisation), QuotaVerdict.UNKNOWN)
