--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -120,7 +120,7 @@
         This happens as soon as the headers are read, so also for answers that are streamed.
         """
         advice = read_advice(answer, self._dialect)
-        if advice.rest_seconds and self._lines.take():
+        if advice.rest_seconds and self._lines.try_acquire():
             _log.info(
                 "server-rest",
                 server=dispatch.server.server_id,
@@ -128,7 +128,7 @@
                 boot=dispatch.server.boot_id,
                 seconds=advice.rest_seconds,
                 request_id=dispatch.request.request_id,
-                lines_left_out=self._lines.take_left_out(),
+                lines_left_out=self._lines.pop_left_out_count(),
             )
         if live.traffic.apply_advice(dispatch, advice, self._clock.monotonic()):
             self._note_draining(dispatch.server)
@@ -218,7 +218,7 @@
     notice: Notice, live: LiveService, lines: LineBudget, now: float, **fields: str
 ) -> None:
     """Log a notice about a server, unless the line budget of this second is used up."""
-    if not lines.take():
+    if not lines.try_acquire():
         return
     if notice.kind is NoticeKind.LIMITED:
         event = "server-limit"
@@ -235,7 +235,7 @@
         **details,
         **fields,
         request_id=notice.request_id,
-        lines_left_out=lines.take_left_out(),
+        lines_left_out=lines.pop_left_out_count(),
     )
 
 
--- a/packages/node/src/persimmonusher_node/callers.py
+++ b/packages/node/src/persimmonusher_node/callers.py
@@ -240,7 +240,7 @@
     def _log_denial(
         self, event: str, host: str, path: str, request_id: RequestId, answer: Answer
     ) -> None:
-        if self._lines.take():
+        if self._lines.try_acquire():
             _log.info(
                 event,
                 request_id=request_id,
@@ -249,7 +249,7 @@
                 status=answer.status,
                 revision=self._entry.revision(),
                 **describe_freshness(self._entry.find_freshness()),
-                lines_left_out=self._lines.take_left_out(),
+                lines_left_out=self._lines.pop_left_out_count(),
             )
 
     def _make_unrouted(self, host: str, path: str, request_id: RequestId) -> Answer:
--- a/packages/node/src/persimmonusher_node/entry.py
+++ b/packages/node/src/persimmonusher_node/entry.py
@@ -98,7 +98,7 @@
     def _refuse_quota(
         self, verdict: QuotaVerdict, organisation: Organisation, quota: RequestQuota, call: Call
     ) -> Answer:
-        if self._log_budget.take():
+        if self._log_budget.try_acquire():
             _log.info(
                 "request-over-quota",
                 request_id=call.request_id,
@@ -106,7 +106,7 @@
                 verdict=verdict.value,
                 per_second=quota.per_second,
                 burst=quota.burst,
-                lines_left_out=self._log_budget.take_left_out(),
+                lines_left_out=self._log_budget.pop_left_out_count(),
             )
         if verdict is QuotaVerdict.EXCEEDED:
             code, message = AnswerCode.QUOTA_EXCEEDED, "the organisation's quota is used up"
--- a/packages/node/src/persimmonusher_node/line_budget.py
+++ b/packages/node/src/persimmonusher_node/line_budget.py
@@ -23,7 +23,7 @@
         self._lines = 0
         self._left_out = 0
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Return whether another line may be written in this second, and count it."""
         second = int(self._clock.monotonic())
         if second != self._second:
@@ -35,7 +35,7 @@
             return False
         return True
 
-    def take_left_out(self) -> int:
+    def pop_left_out_count(self) -> int:
         """Return how many lines were left out since the last call."""
         left_out, self._left_out = self._left_out, 0
         return left_out
--- a/packages/node/src/persimmonusher_node/logs.py
+++ b/packages/node/src/persimmonusher_node/logs.py
@@ -89,7 +89,7 @@
         is_debug_line = is_uneventful(finished)
         if is_debug_line and not self._is_debug:
             return
-        if self._budget.take():
+        if self._budget.try_acquire():
             self._write(finished, self._log.debug if is_debug_line else self._log.info)
 
     def _write(self, finished: FinishedRequest, write: Callable[..., Any]) -> None:
@@ -110,7 +110,7 @@
             **describe_freshness(record.freshness),
             steps=[describe_step(step) for step in record.steps],
             seconds=round(finished.total_seconds, 4),
-            lines_left_out=self._budget.take_left_out(),
+            lines_left_out=self._budget.pop_left_out_count(),
         )
 
 
