--- a/packages/decisions/src/persimmonusher_decisions/quota_shares.py
+++ b/packages/decisions/src/persimmonusher_decisions/quota_shares.py
@@ -82,7 +82,7 @@
         self._refill(now)
         return self._level >= self._depth and not any(at > now for at in self._holders.values())
 
-    def take(self, now: float) -> bool:
+    def take_token(self, now: float) -> bool:
         """Remove one token; return whether there was one."""
         self._refill(now)
         if self._level < 1.0:
@@ -90,7 +90,7 @@
         self._level -= 1.0
         return True
 
-    def take_ahead(self, holder: str, now: float) -> bool:
+    def take_token_ahead(self, holder: str, now: float) -> bool:
         """Remove one token for an entry to hold, which replaces the one it held before.
 
         Return False if there is no token, or if the other entries hold as many as are allowed.
@@ -98,7 +98,7 @@
         while self._holders and next(iter(self._holders.values())) <= now:
             self._holders.popitem(last=False)
         held = len(self._holders) - (holder in self._holders)
-        if held >= self._most_held or not self.take(now):
+        if held >= self._most_held or not self.take_token(now):
             return False
         self._holders[holder] = now + HELD_SECONDS
         self._holders.move_to_end(holder)
@@ -131,7 +131,7 @@
 
     >>> shares = QuotaShares(QuotaTerms(slack=20.0), 5, 0.0)
     >>> quota = RequestQuota(5, 5)
-    >>> [shares.take(CallerId("acme"), quota, "", 100.0).now for _ in range(3)]
+    >>> [shares.grant(CallerId("acme"), quota, "", 100.0).now for _ in range(3)]
     [True, False, False]
     """
 
@@ -145,16 +145,16 @@
     def __len__(self) -> int:
         return len(self._shares)
 
-    def take(self, name: CallerId, quota: RequestQuota, holder: str, now: float) -> Grant:
+    def grant(self, name: CallerId, quota: RequestQuota, holder: str, now: float) -> Grant:
         """Grant one request, and a token to hold if `holder` names an entry that asks for one."""
         share = self._find(name, quota, now)
-        granted = share.take(now)
-        return Grant(granted, granted and bool(holder) and self._take_ahead(share, holder, now))
+        granted = share.take_token(now)
+        return Grant(granted, granted and bool(holder) and self._grant_ahead(share, holder, now))
 
-    def take_ahead(self, name: CallerId, quota: RequestQuota, holder: str, now: float) -> Grant:
+    def grant_ahead(self, name: CallerId, quota: RequestQuota, holder: str, now: float) -> Grant:
         """Grant a token for a future request."""
         share = self._find(name, quota, now)
-        return Grant(False, self._take_ahead(share, holder, now))
+        return Grant(False, self._grant_ahead(share, holder, now))
 
     def lend(self, name: CallerId, quota: RequestQuota, now: float) -> float:
         """Remove tokens for another keeper and return how many."""
@@ -164,9 +164,9 @@
         """Add tokens that another keeper has transferred."""
         self._find(name, quota, now).add(tokens)
 
-    def _take_ahead(self, share: OrganisationShare, holder: str, now: float) -> bool:
+    def _grant_ahead(self, share: OrganisationShare, holder: str, now: float) -> bool:
         """Grant a token to hold, once those granted before this keeper's start have expired."""
-        return now - self._started > HELD_SECONDS and share.take_ahead(holder, now)
+        return now - self._started > HELD_SECONDS and share.take_token_ahead(holder, now)
 
     def _find(self, name: CallerId, quota: RequestQuota, now: float) -> OrganisationShare:
         self._forget(now)
--- a/packages/decisions/tests/test_quota_shares.py
+++ b/packages/decisions/tests/test_quota_shares.py
@@ -43,16 +43,16 @@
         shares = self.keepers[keeper]
         if now < expires:
             if wanted:
-                ahead = shares.take_ahead(NAME, self.quota, holder, now).ahead
+                ahead = shares.grant_ahead(NAME, self.quota, holder, now).ahead
                 self.hold(ahead, keeper, holder, now)
             self.granted.append(now)
             return True
-        grant = shares.take(NAME, self.quota, wanted, now)
+        grant = shares.grant(NAME, self.quota, wanted, now)
         if not grant.now and lenders:
             others = [other for other in self.keepers if other is not shares]
             lent = sum(other.lend(NAME, self.quota, now) for other in others)
             shares.add(NAME, self.quota, lent, now)
-            grant = shares.take(NAME, self.quota, wanted, now)
+            grant = shares.grant(NAME, self.quota, wanted, now)
         self.hold(grant.ahead, keeper, holder, now)
         self.granted.extend([now] if grant.now else [])
         self.refused += not grant.now
@@ -127,15 +127,15 @@
     def test_a_lower_quota_binds_at_once(self) -> None:
         """Guards against granting the tokens of an earlier, higher quota."""
         shares = QuotaShares(TERMS, 1, -60.0)
-        self.assertTrue(shares.take(NAME, RequestQuota(1000, 1000), "", 0.0).now)
+        self.assertTrue(shares.grant(NAME, RequestQuota(1000, 1000), "", 0.0).now)
         lower = RequestQuota(1, 0)
-        granted = sum(shares.take(NAME, lower, "", 0.0).now for _ in range(100))
+        granted = sum(shares.grant(NAME, lower, "", 0.0).now for _ in range(100))
         self.assertLess(granted, find_allowed(lower))
 
     def test_organisations_without_requests_are_forgotten(self) -> None:
         """Guards against memory use that grows with each organisation that ever had a request."""
         shares = QuotaShares(TERMS, KEEPERS, 0.0)
         for number in range(1000):
-            shares.take(CallerId(f"o{number}"), RequestQuota(5, 5), "", 10.0)
-        shares.take(NAME, RequestQuota(5, 5), "", 100.0)
+            shares.grant(CallerId(f"o{number}"), RequestQuota(5, 5), "", 10.0)
+        shares.grant(NAME, RequestQuota(5, 5), "", 100.0)
         self.assertEqual(len(shares), 1)
--- a/packages/node/src/persimmonusher_node/tiers/quota_service.py
+++ b/packages/node/src/persimmonusher_node/tiers/quota_service.py
@@ -85,11 +85,11 @@
     async def _take(self, name: CallerId, quota: RequestQuota, request: pb.QuotaRequest) -> Grant:
         holder = request.holder
         if request.ahead_only:
-            return self._shares.take_ahead(name, quota, holder, self._clock.monotonic())
-        grant = self._shares.take(name, quota, holder, self._clock.monotonic())
+            return self._shares.grant_ahead(name, quota, holder, self._clock.monotonic())
+        grant = self._shares.grant(name, quota, holder, self._clock.monotonic())
         if grant.now or not await self._borrow(name, quota):
             return grant
-        return self._shares.take(name, quota, holder, self._clock.monotonic())
+        return self._shares.grant(name, quota, holder, self._clock.monotonic())
 
     async def _borrow(self, name: CallerId, quota: RequestQuota) -> bool:
         """Ask the other keepers for tokens, once for all requests that wait for them.
