--- a/packages/node/src/persimmonusher_node/runs.py
+++ b/packages/node/src/persimmonusher_node/runs.py
@@ -102,10 +102,10 @@
         if now >= self.request.deadline:
             self.stop(OutcomeKind.TIMEOUT)
         elif not self.caller_left and self.call.has_caller_left():
-            self.leave(now)
+            self.handle_departure(now)
         return self.stopped is None and not self.caller_left
 
-    def leave(self, now: float) -> None:
+    def handle_departure(self, now: float) -> None:
         """Record that the caller left; cancel the request if it is idempotent or queued."""
         if not self.caller_left:
             self.caller_left = True
--- a/packages/node/src/persimmonusher_node/watch.py
+++ b/packages/node/src/persimmonusher_node/watch.py
@@ -85,4 +85,4 @@
         latest_arrival = now - TICK_SECONDS
         for run in self._forwarder.list_runs():
             if run.call.arrived < latest_arrival and run.call.has_caller_left():
-                run.leave(now)
+                run.handle_departure(now)
