--- a/packages/node/src/persimmonusher_node/forwarding.py
+++ b/packages/node/src/persimmonusher_node/forwarding.py
@@ -59,10 +59,10 @@
         self._records = records
         self._observer = observer
         self._clock = clock
-        self._attempts = Attempts(upstream, clock, self.deliver, note_draining, dialect)
+        self._attempts = Attempts(upstream, clock, self.deliver_decision, note_draining, dialect)
         self._runs: dict[RequestId, Run] = {}
 
-    def publish_with(self, publish: Callable[[Sequence[Notice]], None]) -> None:
+    def set_publisher(self, publish: Callable[[Sequence[Notice]], None]) -> None:
         """Set the function that publishes failures seen here to the other instances."""
         self._attempts.publish = publish
 
@@ -86,7 +86,7 @@
             if answer is None or answer.stream is None:
                 self._end(run, answer)
 
-    def deliver(self, live: LiveService, decision: Decision) -> None:
+    def deliver_decision(self, live: LiveService, decision: Decision) -> None:
         """Pass a later decision to the queued request that waits for it."""
         run = self._runs.get(decision.request.request_id)
         if run is not None and run.release(decision):
--- a/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
@@ -87,7 +87,7 @@
             quotas=quotas,
         )
         self.plane = DataPlane(settings, parts, observer, clock, random, edge.dialect)
-        self.plane.forwarder.publish_with(self.follower.report)
+        self.plane.forwarder.set_publisher(self.follower.report)
         self.follower.on_notice = self._apply_notice
         self.follower.lease.list_loads = self._list_loads
         self.follower.on_loads = self._apply_loads
--- a/packages/node/src/persimmonusher_node/watch.py
+++ b/packages/node/src/persimmonusher_node/watch.py
@@ -72,7 +72,7 @@
         if is_housekeeping:
             self._services.count_entries()
             self._upstream.expire()
-        self._services.advance(self._forwarder.deliver, is_housekeeping)
+        self._services.advance(self._forwarder.deliver_decision, is_housekeeping)
 
     def _end_expired_runs(self) -> None:
         now = self._clock.monotonic()
