--- a/packages/node/src/persimmonusher_node/services.py
+++ b/packages/node/src/persimmonusher_node/services.py
@@ -177,7 +177,7 @@
         for decision in live.traffic.advance(now):
             deliver(live, decision)
 
-    def count_entries(self) -> None:
+    def refresh_entry_count(self) -> None:
         """Update the number of live entries, which share each server's connections."""
         self._entries = max(1, self._membership.count_entries())
         for live in self._services.values():
--- a/packages/node/src/persimmonusher_node/watch.py
+++ b/packages/node/src/persimmonusher_node/watch.py
@@ -70,7 +70,7 @@
         if ticks % CALLER_CHECK_TICKS == 0:
             self._end_abandoned_runs()
         if is_housekeeping:
-            self._services.count_entries()
+            self._services.refresh_entry_count()
             self._upstream.expire()
         self._services.advance(self._forwarder.deliver_decision, is_housekeeping)
 
