--- a/packages/node/src/persimmonusher_node/ages.py
+++ b/packages/node/src/persimmonusher_node/ages.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-LONGEST_AGE_SECONDS: Final = 3_600.0
+MAX_REPORTED_AGE_SECONDS: Final = 3_600.0
 """Reported in place of any longer age, and by a process that has not received any state yet."""
 
 
@@ -12,4 +12,4 @@
     >>> bound_age(0.25), bound_age(float("inf"))
     (0.25, 3600.0)
     """
-    return min(LONGEST_AGE_SECONDS, seconds)
+    return min(MAX_REPORTED_AGE_SECONDS, seconds)
--- a/packages/node/src/persimmonusher_node/callers.py
+++ b/packages/node/src/persimmonusher_node/callers.py
@@ -31,7 +31,7 @@
 instance stops, and after a start until it has its first configuration."""
 UNNAMED: Final = "unnamed"
 """The caller or class of a request that names none."""
-LONGEST_DEADLINE_MS: Final = 600_000
+MAX_DEADLINE_MS: Final = 600_000
 """As in profiles; also bounds how long a graceful stop may take."""
 MAX_NAME_LENGTH: Final = 64
 DEFAULT_TARGET_SECONDS: Final = 1.0
@@ -325,14 +325,14 @@
 def read_deadline(environ: dict[str, Any], header: str, request_id: RequestId) -> int | None:
     """Return the caller's deadline in milliseconds, or None where it gives none.
 
-    Raises RefusedCall for a value that is not within 1 to LONGEST_DEADLINE_MS.
+    Raises RefusedCall for a value that is not within 1 to MAX_DEADLINE_MS.
     """
     value = environ.get(find_environ_key(header))
     if value is None:
         return None
-    if value.isascii() and value.isdigit() and 0 < int(value[:9]) <= LONGEST_DEADLINE_MS:
+    if value.isascii() and value.isdigit() and 0 < int(value[:9]) <= MAX_DEADLINE_MS:
         return int(value)
-    message = f"{header} must be 1 to {LONGEST_DEADLINE_MS} milliseconds, not {value[:32]!r}"
+    message = f"{header} must be 1 to {MAX_DEADLINE_MS} milliseconds, not {value[:32]!r}"
     raise RefusedCall(make_error(AnswerCode.BAD_REQUEST, message, request_id))
 
 
--- a/packages/node/src/persimmonusher_node/shutdown.py
+++ b/packages/node/src/persimmonusher_node/shutdown.py
@@ -15,7 +15,7 @@
 
 from persimmonusher_decisions.work import OutcomeKind
 from persimmonusher_model.clock import Clock
-from persimmonusher_node.callers import LONGEST_DEADLINE_MS, CallersApplication
+from persimmonusher_node.callers import MAX_DEADLINE_MS, CallersApplication
 from persimmonusher_node.forwarding import Forwarder
 from persimmonusher_node.listener import HttpListener
 from persimmonusher_node.settings import Settings
@@ -113,5 +113,5 @@
         grace = limits.head_seconds + limits.body_seconds + limits.write_seconds
         waited = self._clock.monotonic() - started
         if self._forwarder.in_flight:
-            return waited > LONGEST_DEADLINE_MS / 1000.0 + grace
+            return waited > MAX_DEADLINE_MS / 1000.0 + grace
         return waited > grace
--- a/packages/node/tests/test_logs.py
+++ b/packages/node/tests/test_logs.py
@@ -13,7 +13,7 @@
 from persimmonusher_agreement.log_replica import ReplicaRole
 from persimmonusher_model.clock import ManualClock
 from persimmonusher_model.identifiers import Revision
-from persimmonusher_node.ages import LONGEST_AGE_SECONDS
+from persimmonusher_node.ages import MAX_REPORTED_AGE_SECONDS
 from persimmonusher_node.keeper import describe_leader
 from persimmonusher_node.line_budget import MAX_LINES_PER_SECOND
 from persimmonusher_node.logs import MASK, LoggingObserver, hide_secrets
@@ -70,7 +70,7 @@
             members=NO_MEMBERS,
         )
         line = json.dumps(describe_leader(status, float("inf")), allow_nan=False)
-        self.assertEqual(json.loads(line)["majority_age"], LONGEST_AGE_SECONDS)
+        self.assertEqual(json.loads(line)["majority_age"], MAX_REPORTED_AGE_SECONDS)
 
     def test_fields_that_may_hold_a_secret_are_masked(self) -> None:
         event = hide_secrets(None, "info", {"event": "x", "peer_token": "s", "body": b"s"})
