--- a/packages/node/src/persimmonusher_node/listener.py
+++ b/packages/node/src/persimmonusher_node/listener.py
@@ -132,7 +132,7 @@
             self._thread.kill()
             self._thread = None
         idle = [state for state in self._connections.values() if state[2] == STATE_IDLE]
-        self._accept_waiting()
+        self._accept_pending()
         self._socket.close()
         for state in idle:
             state[3].shut()
@@ -160,7 +160,7 @@
                 continue
             self._add_connection(connection, peer)
 
-    def _accept_waiting(self) -> None:
+    def _accept_pending(self) -> None:
         """Accept the connections in the accept queue, without waiting for more."""
         raw_socket: socket.socket = getattr(self._socket, "fd", self._socket)
         while True:
--- a/packages/node/tests/test_shutdown.py
+++ b/packages/node/tests/test_shutdown.py
@@ -108,7 +108,7 @@
         request ran. The request must be answered, or the connection never be made.
         """
         plain = eventlet.patcher.original("socket")
-        accept_last = self.listener._accept_waiting
+        accept_last = self.listener._accept_pending
         address = ("127.0.0.1", self.listener.port)
         connected = []
 
@@ -119,7 +119,7 @@
             except (TimeoutError, ConnectionRefusedError):
                 return
 
-        self.listener._accept_waiting = connect_after_the_last_accept  # type: ignore[method-assign]
+        self.listener._accept_pending = connect_after_the_last_accept  # type: ignore[method-assign]
         self.listener.stop_accepting()
         self.assertEqual(connected, [])
 
