--- a/packages/node/src/persimmonusher_node/applied_document.py
+++ b/packages/node/src/persimmonusher_node/applied_document.py
@@ -16,7 +16,7 @@
 logger = structlog.get_logger(__name__)
 
 
-def ignore_limits(limits: CallerLimits) -> None:
+def ignore_caller_limits(limits: CallerLimits) -> None:
     """Do nothing; the default until a listener sets its own callback."""
 
 
@@ -31,7 +31,7 @@
         self.document: RoutingDocument | None = None
         self.organisations: OrganisationBook | None = None
         """None where requests carry no API keys."""
-        self.on_limits_changed: Callable[[CallerLimits], None] = ignore_limits
+        self.on_limits_changed: Callable[[CallerLimits], None] = ignore_caller_limits
         """Called with the limits on callers' requests each time that a document comes into
         force."""
 
--- a/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
@@ -123,7 +123,7 @@
         callers = HttpListener(listen.callers, application, make_listener_limits(settings.limits))
         application.count_connections = lambda: callers.connections
         self._document.on_limits_changed = lambda limits: callers.replace_limits(
-            narrow_limits(make_listener_limits(settings.limits), limits)
+            apply_caller_limits(make_listener_limits(settings.limits), limits)
         )
         with ExitStack() as stack:
             if listen.peers:
@@ -145,7 +145,7 @@
         return whole
 
 
-def narrow_limits(own: ListenerLimits, document: CallerLimits) -> ListenerLimits:
+def apply_caller_limits(own: ListenerLimits, document: CallerLimits) -> ListenerLimits:
     """Return the stricter of the listener's and the document's limits, each by itself."""
     return replace(
         own,
--- a/packages/node/tests/test_listener_limits.py
+++ b/packages/node/tests/test_listener_limits.py
@@ -12,7 +12,7 @@
 
 from persimmonusher_model.routing import CallerLimits  # noqa: E402
 from persimmonusher_node.listener import HttpListener, ListenerLimits  # noqa: E402
-from persimmonusher_node.tiers.entry_daemon import narrow_limits  # noqa: E402
+from persimmonusher_node.tiers.entry_daemon import apply_caller_limits  # noqa: E402
 
 OWN = ListenerLimits(idle_seconds=5.0, head_seconds=5.0)
 REQUEST = b"GET / HTTP/1.1\r\nHost: h.example\r\n"
@@ -37,7 +37,7 @@
 
     def limit(self, **values: Any) -> None:
         limits = {"head_bytes": 1_000, "body_bytes": 0, "head_seconds": 9.0, "idle_seconds": 9.0}
-        self.listener.replace_limits(narrow_limits(OWN, CallerLimits(**{**limits, **values})))
+        self.listener.replace_limits(apply_caller_limits(OWN, CallerLimits(**{**limits, **values})))
 
     def test_a_long_head_is_refused_and_one_at_the_limit_is_not(self) -> None:
         self.limit(head_bytes=200)
@@ -65,7 +65,7 @@
 
     def test_a_document_never_widens_the_instance_s_own_limits(self) -> None:
         wide = CallerLimits(1_000_000, 0, 600.0, 600.0)
-        self.assertEqual(narrow_limits(OWN, wide), OWN)
+        self.assertEqual(apply_caller_limits(OWN, wide), OWN)
 
 
 if __name__ == "__main__":
