--- a/packages/node/src/persimmonusher_node/daemon.py
+++ b/packages/node/src/persimmonusher_node/daemon.py
@@ -37,7 +37,7 @@
         self._directory = parts.directory
         self._clock = clock
         self.plane = DataPlane(settings, parts, observer, clock, random)
-        more = parts.make_more(self.plane.services, self.plane.records)
+        more = parts.make_components(self.plane.services, self.plane.records)
         self._components: tuple[Component, ...] = (*parts.components, *more)
 
     def run(self, stop: StopSignal) -> bool:
--- a/packages/node/src/persimmonusher_node/fleet.py
+++ b/packages/node/src/persimmonusher_node/fleet.py
@@ -66,7 +66,7 @@
             self.membership,
             self.claims,
             tuple(components),
-            self._make_more,
+            self._make_components,
         )
 
     def _make_keeper(self) -> Sequence[Component]:
@@ -88,7 +88,7 @@
         )
         return (role, roster)
 
-    def _make_more(self, services: ServiceBook, records: RecordRing) -> Sequence[Component]:
+    def _make_components(self, services: ServiceBook, records: RecordRing) -> Sequence[Component]:
         settings = self._settings
         domain = FailureDomain(settings.failure_domain)
         evidence = EvidenceExchange(
--- a/packages/node/src/persimmonusher_node/parts.py
+++ b/packages/node/src/persimmonusher_node/parts.py
@@ -25,7 +25,7 @@
 class Parts:
     """The ports' adapters, and those that are components, in the order in which they start.
 
-    `make_more` makes the components that read the data plane's state, once that exists.
+    `make_components` makes the components that read the data plane's state, once that exists.
     """
 
     view: ConfigurationView
@@ -33,5 +33,5 @@
     membership: Membership
     claims: KeyClaims
     components: tuple[Component, ...] = ()
-    make_more: Callable[[ServiceBook, RecordRing], Sequence[Component]] = make_no_components
+    make_components: Callable[[ServiceBook, RecordRing], Sequence[Component]] = make_no_components
     quotas: Quotas = field(default_factory=UnlimitedQuotas)
