--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -69,7 +69,7 @@
     """The `ConfigurationView` of an instance, and its Configuration service for peers.
 
     Constructor: `ConfigurationClient(settings, channels, clock, random, list_peers)`; `list_peers`
-    returns the live instances' peer addresses and may be replaced later with `follow_peers`.
+    returns the live instances' peer addresses and may be replaced later with `set_peer_source`.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
 
     # Updates
 
-    def follow_peers(self, list_peers: Callable[[], Sequence[str]]) -> None:
+    def set_peer_source(self, list_peers: Callable[[], Sequence[str]]) -> None:
         """Set the function that lists the live instances' peer addresses."""
         self._list_peers = list_peers
 
--- a/packages/node/src/persimmonusher_node/fleet.py
+++ b/packages/node/src/persimmonusher_node/fleet.py
@@ -41,7 +41,7 @@
             read_revision=self.configuration.revision,
             record_peer_revision=self.configuration.record_peer_revision,
         )
-        self.configuration.follow_peers(self._list_peer_addresses)
+        self.configuration.set_peer_source(self._list_peer_addresses)
         self.directory = GossipDirectory(self.membership)
         self._boot = self.membership.fleet.members.own.incarnation
         self._roster = RosterReader(self.configuration)
