--- a/packages/node/src/persimmonusher_node/fleet.py
+++ b/packages/node/src/persimmonusher_node/fleet.py
@@ -20,7 +20,7 @@
 from persimmonusher_node.peers import ChannelPool
 from persimmonusher_node.ports import Instance
 from persimmonusher_node.records import RecordRing
-from persimmonusher_node.roster import SETTLE_SECONDS, RosterKeeper, RosterReader
+from persimmonusher_node.roster import ROSTER_SETTLE_SECONDS, RosterKeeper, RosterReader
 from persimmonusher_node.services import ServiceBook
 from persimmonusher_node.settings import Settings
 
@@ -75,7 +75,7 @@
             return ()
         role = KeeperRole(settings, self._channels, self._clock, self.configuration)
         window = settings.claims.longest_window_seconds
-        planner = RosterPlanner(settings.claims.founding_instances, SETTLE_SECONDS)
+        planner = RosterPlanner(settings.claims.founding_instances, ROSTER_SETTLE_SECONDS)
         roster = RosterKeeper(
             self.configuration,
             self._roster,
--- a/packages/node/src/persimmonusher_node/roster.py
+++ b/packages/node/src/persimmonusher_node/roster.py
@@ -31,7 +31,7 @@
 CALL_TIMEOUT_SECONDS: Final = 0.5
 MAX_CONCURRENT_CALLS: Final = 64
 _CALL_FAILURES: Final = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
-SETTLE_SECONDS: Final = 3.0
+ROSTER_SETTLE_SECONDS: Final = 3.0
 """Time for which the live instances must stay the same before they become the roster, so that the
 start or restart of a fleet makes one version and not one for each instance."""
 
