--- a/packages/node/src/persimmonusher_node/settings_bounds.py
+++ b/packages/node/src/persimmonusher_node/settings_bounds.py
@@ -17,7 +17,7 @@
 which don't start at the same moments as the windows over which the bound is checked."""
 
 
-def apply_bounds(settings: Settings) -> Settings:
+def derive_settings(settings: Settings) -> Settings:
     """Return the settings with derived values for those that the file leaves out.
 
     The default profile keeps its own values and gets derived ones for the fields that it lacks.
--- a/packages/node/src/persimmonusher_node/settings_file.py
+++ b/packages/node/src/persimmonusher_node/settings_file.py
@@ -13,7 +13,7 @@
 from persimmonusher_model.profile import parse_profile
 from persimmonusher_model.spelling import find_nearest
 from persimmonusher_node.settings import REQUIRED_LISTENERS, Role, Settings
-from persimmonusher_node.settings_bounds import apply_bounds
+from persimmonusher_node.settings_bounds import derive_settings
 
 _SYNTAX_ERROR: Final = re.compile(r"<string>:(?P<line>\d+)")
 IMPOSSIBLE: Final = ErrorCode.IMPOSSIBLE_COMBINATION
@@ -46,7 +46,7 @@
     except ValidationError as error:
         findings = [_make_finding(detail, text, file) for detail in error.errors()]
     else:
-        settings = apply_bounds(settings)
+        settings = derive_settings(settings)
         findings = check_combinations(settings, text, file)
     if findings:
         findings.sort(key=lambda finding: (finding.line or 0, finding.path))
