--- a/packages/node/src/persimmonusher_node/configuration_client.py
+++ b/packages/node/src/persimmonusher_node/configuration_client.py
@@ -262,14 +262,14 @@
         try:
             batch = await self._fetch(address)
         except CALL_ERRORS as error:
-            self._sources.report(address, False, self._clock.monotonic())
+            self._sources.record_result(address, False, self._clock.monotonic())
             if isinstance(error, asyncio.TimeoutError):
                 self._channels.forget(address)
         except (KeyError, ValueError) as error:
-            self._sources.report(address, False, self._clock.monotonic())
+            self._sources.record_result(address, False, self._clock.monotonic())
             logger.error("unreadable-configuration", source=address, error=repr(error))
         else:
-            self._sources.report(address, True, self._clock.monotonic())
+            self._sources.record_result(address, True, self._clock.monotonic())
             self.apply_batch(batch)
         finally:
             self._pull_started_at.pop(address, None)
@@ -300,7 +300,7 @@
         try:
             await stub.Announce(request, timeout=ANNOUNCE_TIMEOUT_SECONDS)
         except CALL_ERRORS:
-            self._sources.report(address, False, self._clock.monotonic())
+            self._sources.record_result(address, False, self._clock.monotonic())
 
     def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         if self._loop_task is None:
--- a/packages/node/src/persimmonusher_node/configuration_sources.py
+++ b/packages/node/src/persimmonusher_node/configuration_sources.py
@@ -73,7 +73,7 @@
         partners = self.list_partners(now) or [a for a in self._keepers if a != self._own]
         return self._random.sample(list(partners), min(count, len(partners)))
 
-    def report(self, address: str, ok: bool, now: float) -> None:
+    def record_result(self, address: str, ok: bool, now: float) -> None:
         """Record whether a call to a source succeeded."""
         if ok:
             self._avoid_until.pop(address, None)
