--- a/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
+++ b/packages/node/src/persimmonusher_node/tiers/entry_daemon.py
@@ -40,7 +40,7 @@
 _log = get_logger(__name__)
 
 
-class FollowedView(ConfigurationClient):
+class FollowedConfiguration(ConfigurationClient):
     """The configuration as received from the followed keeper; nothing is pulled from peers."""
 
     follower: KeeperFollower | None = None
@@ -72,7 +72,7 @@
         self._document = document = AppliedDocument(
             edge.codec, parse_profile(settings.default_profile)
         )
-        view = FollowedView(settings, channels, clock, random, document=document)
+        view = FollowedConfiguration(settings, channels, clock, random, document=document)
         self.follower = KeeperFollower(settings, view, channels, clock, random)
         view.follower = self.follower
         own = Instance(
--- a/packages/node/tests/test_tiers.py
+++ b/packages/node/tests/test_tiers.py
@@ -45,7 +45,7 @@
 from persimmonusher_node.peers import ChannelPool  # noqa: E402
 from persimmonusher_node.ports import QuotaVerdict  # noqa: E402
 from persimmonusher_node.settings import Listeners, Role, Settings  # noqa: E402
-from persimmonusher_node.tiers.entry_daemon import FollowedView  # noqa: E402
+from persimmonusher_node.tiers.entry_daemon import FollowedConfiguration  # noqa: E402
 from persimmonusher_node.tiers.entry_ports import RegisteredDirectory  # noqa: E402
 from persimmonusher_node.tiers.follow_service import FollowService  # noqa: E402
 from persimmonusher_node.tiers.follower import KeeperFollower  # noqa: E402
@@ -138,7 +138,9 @@
         self.stack = ExitStack()
         channels = self.stack.enter_context(ChannelPool("peers"))
         document = AppliedDocument(PlainCodec(), Profile())
-        self.view = FollowedView(settings, channels, clock, Random(number), document=document)
+        self.view = FollowedConfiguration(
+            settings, channels, clock, Random(number), document=document
+        )
         self.follower = KeeperFollower(settings, self.view, channels, clock, Random(number))
         self.view.follower = self.follower
         self.quotas = KeeperQuotas(f"e{number}", self.follower.list_keepers, channels, clock)
