--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -171,7 +171,7 @@
         keepers = self._settings.keepers
         return keepers[0].instance_id if keepers else ""
 
-    def take_message(self, wire: pb.LogMessage) -> None:
+    def handle_message(self, wire: pb.LogMessage) -> None:
         """Handle another keeper's message of the log."""
         message = decode_message(wire)
         self._courier.learn_address(message.source, wire.address)
@@ -205,12 +205,12 @@
     def admit(self, candidate: Candidate, promote: bool) -> None:
         """Handle a keeper's request to join.
 
-        A keeper without a log notes it as a candidate. A leader admits it, unless a change of the
+        A keeper without a log adds it to its candidates. A leader admits it, unless a change of the
         members is pending. Others ignore it.
         """
         now = self._clock.monotonic()
         if is_empty(self.keeper):
-            self._formation.note_candidate(candidate, now)
+            self._formation.add_candidate(candidate, now)
         if not self.keeper.replica.is_ready_leader or self.keeper.has_pending_members():
             return
         with self._guard():
@@ -219,7 +219,7 @@
             )
         self._wake.set()
 
-    def form(self, members: Members) -> None:
+    def form_log(self, members: Members) -> None:
         """Form a new log with these members, unless this keeper already holds one."""
         with self._guard():
             if is_empty(self.keeper):
--- a/packages/node/src/persimmonusher_node/keeper_formation.py
+++ b/packages/node/src/persimmonusher_node/keeper_formation.py
@@ -55,8 +55,8 @@
     def list_addresses(self) -> Sequence[str]:
         """List the peer addresses whose state the plan needs."""
 
-    def note_candidate(self, candidate: Candidate, now: float) -> None:
-        """Note a keeper that asked this one to join while this one held no log."""
+    def add_candidate(self, candidate: Candidate, now: float) -> None:
+        """Add a keeper that asked this one to join while this one held no log."""
         return
 
     @abstractmethod
--- a/packages/node/src/persimmonusher_node/keeper_joining.py
+++ b/packages/node/src/persimmonusher_node/keeper_joining.py
@@ -93,7 +93,7 @@
         if formation.step is Step.JOIN:
             await self._ask_to_join(formation.addresses)
         if formation.members is not None and self._role.identity == identity:
-            self._role.form(formation.members)
+            self._role.form_log(formation.members)
 
     async def _ask_to_join(self, addresses: Sequence[str]) -> None:
         request = pb.IntroduceRequest(
--- a/packages/node/src/persimmonusher_node/keeper_seeds.py
+++ b/packages/node/src/persimmonusher_node/keeper_seeds.py
@@ -52,7 +52,7 @@
         """List the seeds."""
         return self._seeds
 
-    def note_candidate(self, candidate: Candidate, now: float) -> None:
+    def add_candidate(self, candidate: Candidate, now: float) -> None:
         """Remember a keeper that asked to join."""
         self._candidates[candidate.keeper] = (candidate, now)
 
--- a/packages/node/src/persimmonusher_node/keeper_service.py
+++ b/packages/node/src/persimmonusher_node/keeper_service.py
@@ -38,7 +38,7 @@
         request = await stream.recv_message()
         assert request is not None
         try:
-            self._role.take_message(request)
+            self._role.handle_message(request)
         except (UsherError, ValueError, KeyError) as error:
             raise GRPCError(Status.FAILED_PRECONDITION, str(error)) from error
         await stream.send_message(pb.Ack())
--- a/packages/node/tests/test_keeper_seeds.py
+++ b/packages/node/tests/test_keeper_seeds.py
@@ -67,7 +67,7 @@
         self.assertIs(self.plan(formation, "k1#a", reports).step, Step.WAIT)
         for number in (4, 5, 6):
             candidate = Candidate(KeeperId(f"k{number}#a"), f"10.0.0.{number}:70", "north")
-            formation.note_candidate(candidate, 0.5)
+            formation.add_candidate(candidate, 0.5)
         formed_now = self.plan(formation, "k1#a", reports, 1.0)
         self.assertIs(formed_now.step, Step.FORM)
         assert formed_now.members is not None
