--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -38,7 +38,6 @@
 from persimmonusher_node.ages import bound_age
 from persimmonusher_node.component import Component
 from persimmonusher_node.configuration_client import ConfigurationClient
-from persimmonusher_node.keeper_courier import KeeperCourier
 from persimmonusher_node.keeper_files import KeeperFiles
 from persimmonusher_node.keeper_followers import FollowerCount
 from persimmonusher_node.keeper_formation import (
@@ -48,6 +47,7 @@
 )
 from persimmonusher_node.keeper_joining import KeeperJoining, is_empty
 from persimmonusher_node.keeper_message_wire import decode_message
+from persimmonusher_node.keeper_sender import KeeperSender
 from persimmonusher_node.keeper_service import KeeperService
 from persimmonusher_node.keeper_storage import KeeperStorage
 from persimmonusher_node.keeper_waiting import WaitingCalls
@@ -118,7 +118,7 @@
         self._tolerance = tolerance
         self._timing = timing
         self.followers = FollowerCount()
-        self._courier = KeeperCourier(channels, settings.listen.peers)
+        self._sender = KeeperSender(channels, settings.listen.peers)
         self._joining = KeeperJoining(self, settings, channels, clock, client, self._formation)
         self._main: list[asyncio.Task[None]] = []
         self._leader: KeeperId | None = None
@@ -141,7 +141,7 @@
         for task in self._main:
             task.cancel()
         self._main = []
-        self._courier.stop()
+        self._sender.stop()
         self._close("stopped")
 
     # Called by the service
@@ -174,7 +174,7 @@
     def handle_message(self, wire: pb.LogMessage) -> None:
         """Handle another keeper's message of the log."""
         message = decode_message(wire)
-        self._courier.learn_address(message.source, wire.address)
+        self._sender.learn_address(message.source, wire.address)
         from_leader = isinstance(message, AppendRequest | SnapshotRequest)
         now = self._clock.monotonic()
         self.followers.record(message.source, wire.followers, now, from_leader)
@@ -324,7 +324,7 @@
             keeper.replica.is_leader, self._clock.monotonic()
         )
         for message in output.messages:
-            self._courier.send(message, members, followers)
+            self._sender.send(message, members, followers)
         self._calls.answer(keeper, output.verdicts)
         self._log_leader(keeper)
         if keeper.configuration.revision > self._client.revision():
--- a/packages/node/src/persimmonusher_node/keeper_courier.py
+++ b/packages/node/src/persimmonusher_node/keeper_sender.py
@@ -27,7 +27,7 @@
 can only be strays."""
 
 
-class KeeperCourier:
+class KeeperSender:
     """Sends messages to members by their listed address, to others by the one they reported."""
 
     def __init__(self, channels: ChannelPool, own_address: str) -> None:
