--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -50,7 +50,7 @@
 from persimmonusher_node.keeper_sender import KeeperSender
 from persimmonusher_node.keeper_service import KeeperService
 from persimmonusher_node.keeper_storage import KeeperStorage
-from persimmonusher_node.keeper_waiting import WaitingCalls
+from persimmonusher_node.keeper_waiting import PendingCalls
 from persimmonusher_node.loop import start_coroutine
 from persimmonusher_node.peers import ChannelPool
 from persimmonusher_node.settings import Settings
@@ -113,7 +113,7 @@
         self._keeper: ConfigurationKeeper | None = None
         self.failure = "not started"
         self._wake = asyncio.Event()
-        self._calls = WaitingCalls()
+        self._calls = PendingCalls()
         self._formation = formation or ListedFormation(settings.keepers)
         self._tolerance = tolerance
         self._timing = timing
--- a/packages/node/src/persimmonusher_node/keeper_files.py
+++ b/packages/node/src/persimmonusher_node/keeper_files.py
@@ -31,7 +31,7 @@
 """Bytes that are written and synced at a time: about ten milliseconds of disk time."""
 
 
-def frame(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
     """Return the payload with its header."""
     return HEADER.pack(MAGIC, len(payload), _compute_checksum(payload)) + payload
 
--- a/packages/node/src/persimmonusher_node/keeper_storage.py
+++ b/packages/node/src/persimmonusher_node/keeper_storage.py
@@ -18,7 +18,7 @@
 from persimmonusher_agreement.log_storage import LogStorage, StorageError, StoredLog
 from persimmonusher_model.errors import ErrorCode
 from persimmonusher_model.identifiers import InstanceId
-from persimmonusher_node.keeper_files import KeeperFiles, frame, scan_frames
+from persimmonusher_node.keeper_files import KeeperFiles, encode_frame, scan_frames
 from persimmonusher_node.keeper_wire import (
     decode_entry,
     decode_snapshot,
@@ -97,7 +97,7 @@
             self._files.set_aside("without-identity")
         self.save_vote(stored.vote)
         self._rewrite_log(0, 0, ())
-        self._files.replace(IDENTITY, frame(f"{instance}#{disk_id}".encode()))
+        self._files.replace(IDENTITY, encode_frame(f"{instance}#{disk_id}".encode()))
         return stored
 
     def _read(self) -> StoredLog:
@@ -152,14 +152,14 @@
         batch = pb.LogBatch(
             truncate_from=self._truncate_from, entries=map(encode_entry, self._pending)
         )
-        self._files.append(frame(batch.SerializeToString()))
+        self._files.append(encode_frame(batch.SerializeToString()))
         self._pending.clear()
         self._truncate_from = 0
 
     def save_vote(self, vote: Vote) -> None:
         """Replace the vote; durable on return."""
         wire = pb.Vote(term=vote.term, voted_for=vote.voted_for)
-        self._files.replace(VOTE, frame(wire.SerializeToString()))
+        self._files.replace(VOTE, encode_frame(wire.SerializeToString()))
 
     def prepare_snapshot(self, snapshot: Snapshot) -> Iterator[None]:
         """Encode and write a snapshot in slices, so that `save_snapshot` of it is quick.
@@ -170,7 +170,7 @@
         for part in encode_snapshot_parts(snapshot):
             parts.append(part.SerializeToString())
             yield
-        yield from self._files.write_in_slices(PREPARED_SNAPSHOT, frame(b"".join(parts)))
+        yield from self._files.write_in_slices(PREPARED_SNAPSHOT, encode_frame(b"".join(parts)))
         self._prepared = snapshot
 
     def save_snapshot(self, snapshot: Snapshot, kept: Sequence[Entry]) -> None:
@@ -178,7 +178,7 @@
         if self._prepared is snapshot:
             self._files.rename(PREPARED_SNAPSHOT, SNAPSHOT)
         else:
-            content = frame(encode_snapshot(snapshot).SerializeToString())
+            content = encode_frame(encode_snapshot(snapshot).SerializeToString())
             self._files.replace(SNAPSHOT, content)
         self._prepared = None
         self._rewrite_log(snapshot.index, snapshot.term, kept)
@@ -187,10 +187,10 @@
 
     def _rewrite_log(self, index: int, term: int, entries: Sequence[Entry]) -> None:
         base = pb.LogBase(index=index, term=term)
-        content = frame(base.SerializeToString())
+        content = encode_frame(base.SerializeToString())
         if entries:
             batch = pb.LogBatch(entries=map(encode_entry, entries))
-            content += frame(batch.SerializeToString())
+            content += encode_frame(batch.SerializeToString())
         self._files.replace(LOG, content)
         self._files.open_append(LOG)
 
--- a/packages/node/src/persimmonusher_node/keeper_waiting.py
+++ b/packages/node/src/persimmonusher_node/keeper_waiting.py
@@ -21,8 +21,8 @@
 available to others."""
 
 
-class WaitingCalls:
-    """Futures of the waiting calls: a turn of the keeper resolves each, or all fail together."""
+class PendingCalls:
+    """Futures of the pending calls: a turn of the keeper resolves each, or all fail together."""
 
     def __init__(self) -> None:
         self._changes: dict[str, list[asyncio.Future[Verdict]]] = {}
--- a/packages/node/tests/test_keeper_storage.py
+++ b/packages/node/tests/test_keeper_storage.py
@@ -40,7 +40,7 @@
 from persimmonusher_model.errors import ErrorCode, Finding
 from persimmonusher_model.identifiers import InstanceId, Revision
 from persimmonusher_node import keeper_files
-from persimmonusher_node.keeper_files import KeeperFiles, frame
+from persimmonusher_node.keeper_files import KeeperFiles, encode_frame
 from persimmonusher_node.keeper_message_wire import decode_message, encode_message
 from persimmonusher_node.keeper_storage import KeeperStorage
 from persimmonusher_protocol import keeper_pb2 as pb
@@ -259,7 +259,7 @@
     def test_a_record_inside_a_body_is_not_taken_for_one(self) -> None:
         storage = self.open()
         storage.load()
-        inner = frame(pb.LogBatch(truncate_from=1).SerializeToString()).decode("latin-1")
+        inner = encode_frame(pb.LogBatch(truncate_from=1).SerializeToString()).decode("latin-1")
         storage.append([make_entry(1, body=inner)])
         storage.sync()
         self.assertEqual(len(self.open().load().entries), 1)
