--- a/packages/node/src/persimmonusher_node/tiers/edge.py
+++ b/packages/node/src/persimmonusher_node/tiers/edge.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Heartbeat:
+class RegistrationReply:
     """The answer to a backend server whose registration was accepted."""
 
     address: str | None
@@ -29,7 +29,7 @@
     """
 
     @abstractmethod
-    def register(self, registration: Registration) -> Heartbeat:
+    def register(self, registration: Registration) -> RegistrationReply:
         """Accept a server's registration; a majority holds any change in it on return."""
 
     @abstractmethod
--- a/packages/node/src/persimmonusher_node/tiers/keeper_control.py
+++ b/packages/node/src/persimmonusher_node/tiers/keeper_control.py
@@ -34,7 +34,7 @@
 from persimmonusher_node.keeper import KeeperRole
 from persimmonusher_node.loop import run_coroutine
 from persimmonusher_node.settings import Settings
-from persimmonusher_node.tiers.edge import ControlPort, Heartbeat
+from persimmonusher_node.tiers.edge import ControlPort, RegistrationReply
 from persimmonusher_node.tiers.leader import LeaderCalls
 
 logger = structlog.get_logger(__name__)
@@ -65,7 +65,7 @@
         self._leader = leader
         self._codec = codec
 
-    def register(self, registration: Registration) -> Heartbeat:
+    def register(self, registration: Registration) -> RegistrationReply:
         """Accept a server's registration; only a change goes through the log.
 
         Guards against a registration from elsewhere that names a service without a route: it could
@@ -78,10 +78,10 @@
         known = self._find(registration.server_id)
         is_same_boot = known is not None and known.boot == registration.boot
         if is_same_boot and known is not None and known.describes_same(registration):
-            return self._make_heartbeat(registration)
+            return self._make_registration_reply(registration)
         if supersedes(registration, known):
             self._propose_server(registration)
-        return self._make_heartbeat(registration)
+        return self._make_registration_reply(registration)
 
     def deregister(self, server_id: str, boot: int | None) -> None:
         """Record that a server has ended.
@@ -149,15 +149,15 @@
             message = f"revision {revision} has not arrived here, only {self._view.revision()}"
             raise UsherError(ErrorCode.UNAVAILABLE, message)
 
-    def _make_heartbeat(self, registration: Registration) -> Heartbeat:
+    def _make_registration_reply(self, registration: Registration) -> RegistrationReply:
         """Name a keeper in the server's failure domain, so that heartbeats don't cross domains."""
         domain = registration.failure_domain
         if domain == self._settings.failure_domain:
-            return Heartbeat(None)
+            return RegistrationReply(None)
         members = self._role.keeper.replica.log.members.members
         near = [member.address for member in members if member.failure_domain == domain]
         if not near:
-            return Heartbeat(None)
+            return RegistrationReply(None)
         port = self._settings.listen.control.rpartition(":")[2]
         chosen = rank(near, registration.server_id)[0]
-        return Heartbeat(f"{chosen.rpartition(':')[0]}:{port}")
+        return RegistrationReply(f"{chosen.rpartition(':')[0]}:{port}")
