--- a/packages/node/tests/entry_harness.py
+++ b/packages/node/tests/entry_harness.py
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class CallerAnswer:
     """The answer that the caller received."""
 
     status: int
@@ -293,7 +293,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         connection: HTTPConnection | None = None,
-    ) -> Told:
+    ) -> CallerAnswer:
         connection = connection or self.connect()
         connection.request(method, target, body, {"Host": HOST, **(headers or {})})
         return read_answer(connection.getresponse())
@@ -321,7 +321,7 @@
         raise TimeoutError("the connection did not end within 10 s")
 
 
-def read_answer(response: HTTPResponse) -> Told:
+def read_answer(response: HTTPResponse) -> CallerAnswer:
     headers = {name.lower(): value for name, value in response.getheaders()}
     outcome = headers.get("persimmonusher-outcome")
-    return Told(response.status, outcome, headers, response.read())
+    return CallerAnswer(response.status, outcome, headers, response.read())
--- a/packages/node/tests/test_api_keys.py
+++ b/packages/node/tests/test_api_keys.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from entry_harness import HOST, SERVICE, SHED, EntryTestCase, Heard, Told
+from entry_harness import HOST, SERVICE, SHED, CallerAnswer, EntryTestCase, Heard
 from structlog.testing import capture_logs
 
 from persimmonusher_model.identifiers import CallerId, RequestId
@@ -55,7 +55,7 @@
         self.keyed = KeyedConfiguration(self.view.routes, self.view.profiles)
         self.plane.services._view = self.keyed
 
-    def ask(self, key: str | None = SECRET, target: str = "/items", **headers: str) -> Told:
+    def ask(self, key: str | None = SECRET, target: str = "/items", **headers: str) -> CallerAnswer:
         if key is not None:
             headers["Authorization"] = f"Token {key}"
         return self.call("GET", target, headers=headers)
--- a/packages/node/tests/test_keyed.py
+++ b/packages/node/tests/test_keyed.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 import eventlet
-from entry_harness import PROFILE, SHED, EntryTestCase, Told, answer, send, stall
+from entry_harness import PROFILE, SHED, CallerAnswer, EntryTestCase, answer, send, stall
 
 from persimmonusher_model.errors import ErrorCode, UsherError
 from persimmonusher_node.ports import ClaimResult, ClaimStatus
@@ -28,7 +28,7 @@
 
 
 class KeyedTest(EntryTestCase):
-    def lodge(self, key: str = "k", body: bytes = b"entry", **headers: str) -> Told:
+    def lodge(self, key: str = "k", body: bytes = b"entry", **headers: str) -> CallerAnswer:
         return self.call("POST", "/entry", body, {"Idempotency-Key": key, **headers})
 
     def test_a_resend_gets_the_first_answer_and_runs_nothing(self) -> None:
--- a/packages/node/tests/test_shutdown.py
+++ b/packages/node/tests/test_shutdown.py
@@ -14,7 +14,15 @@
 from pathlib import Path
 
 import eventlet
-from entry_harness import PROFILE, EntryTestCase, ScriptedServer, Told, answer, read_answer, stall
+from entry_harness import (
+    PROFILE,
+    CallerAnswer,
+    EntryTestCase,
+    ScriptedServer,
+    answer,
+    read_answer,
+    stall,
+)
 from lone_instance import HOST
 
 from persimmonusher_node.clock import SystemClock
@@ -209,7 +217,9 @@
             eventlet.sleep(0.02)
         return time.monotonic() - started
 
-    def post(self, body: bytes, connection: HTTPConnection | None = None, **headers: str) -> Told:
+    def post(
+        self, body: bytes, connection: HTTPConnection | None = None, **headers: str
+    ) -> CallerAnswer:
         connection = connection or self.open(self.listen.callers)
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         connection.request("POST", "/entry", body, {"Host": HOST, **named})
--- a/packages/node/tests/test_whole_answers.py
+++ b/packages/node/tests/test_whole_answers.py
@@ -11,9 +11,9 @@
     HOST,
     PROFILE,
     Behaviour,
+    CallerAnswer,
     EntryTestCase,
     Heard,
-    Told,
     answer,
     send,
     stall,
@@ -126,7 +126,7 @@
         self.servers[0].script[:] = [stall(0.002 * (40 - n), echo) for n in range(40)]
         threads = [eventlet.spawn(self.call, "GET", f"/many/{n}") for n in range(40)]
         for number, thread in enumerate(threads):
-            response: Told = thread.wait()
+            response: CallerAnswer = thread.wait()
             if response.status == 200:
                 self.assertEqual(response.body.decode(), f"/many/{number}")
             else:
