--- a/packages/agreement/tests/test_directory_faults.py
+++ b/packages/agreement/tests/test_directory_faults.py
@@ -59,7 +59,7 @@
             fleet, checker, servers = start_fleet(48, seed, loss=0.2, servers=24)
             for number, server in enumerate(servers):
                 with self.subTest(seed=seed, number=number):
-                    fleet.tell(server, ServerState.DRAINING, entry=number)
+                    fleet.announce_to(server, ServerState.DRAINING, entry=number)
                     self.wait_until_known(fleet, server, ServerState.DRAINING, MAX_DRAIN_SECONDS)
             self.expect_clean(checker)
 
@@ -74,7 +74,7 @@
                 with self.subTest(seed=seed, number=number):
                     if number % 2:
                         fleet.cut_one_way((number,), range(48))
-                    fleet.tell(server, ServerState.DRAINING, entry=number)
+                    fleet.announce_to(server, ServerState.DRAINING, entry=number)
                     fleet.crash(number)
                     self.wait_until_known(fleet, server, ServerState.DRAINING, MAX_DRAIN_SECONDS)
             self.expect_clean(checker)
@@ -90,7 +90,7 @@
                 with self.subTest(senders=senders, seed=seed):
                     fleet, checker, servers = start_fleet(48, seed)
                     fleet.cut_one_way(senders, receivers)
-                    fleet.tell(servers[0], ServerState.DRAINING, entry=3)
+                    fleet.announce_to(servers[0], ServerState.DRAINING, entry=3)
                     self.wait_until_known(
                         fleet, servers[0], ServerState.DRAINING, MAX_DRAIN_SECONDS
                     )
@@ -105,11 +105,11 @@
         server = servers[0]
         server.announcing = False
         old = replace(server.record, sequence=server.record.sequence)
-        fleet.tell(server, ServerState.DRAINING, entry=1)
+        fleet.announce_to(server, ServerState.DRAINING, entry=1)
         fleet.deliver(old, 2)
         fleet.run(5.0)
         self.assertEqual(count_knowing(fleet, server, ServerState.DRAINING), 12)
-        fleet.tell(server, ServerState.STOPPED, entry=3)
+        fleet.announce_to(server, ServerState.STOPPED, entry=3)
         fleet.run(5.0)
         fleet.deliver(old, 4)
         fleet.run(10.0)
@@ -242,7 +242,7 @@
                     fleet.cut_both_ways(group, [n for n in range(12) if n not in group])
                     fleet.unreachable.update(group)
                 servers[0].announcing = False
-                fleet.tell(servers[0], ServerState.STOPPED, entry=0)
+                fleet.announce_to(servers[0], ServerState.STOPPED, entry=0)
                 fleet.run(300.0)
                 self.assertIsNone(
                     fleet.instances[0].fleet.directory.find(servers[0].record.server_id)
--- a/packages/agreement/tests/test_membership_exploration.py
+++ b/packages/agreement/tests/test_membership_exploration.py
@@ -74,7 +74,7 @@
         if server in self.stopped:
             return
         state = ServerState.STOPPED if stop else ServerState.DRAINING
-        self.fleet.tell(self.servers[server], state, entry)
+        self.fleet.announce_to(self.servers[server], state, entry)
         if stop:
             self.stopped.add(server)
 
--- a/packages/lab/src/persimmonusher_lab/membership_checks.py
+++ b/packages/lab/src/persimmonusher_lab/membership_checks.py
@@ -5,7 +5,11 @@
 from typing import Final
 
 from persimmonusher_agreement.server_record import ServerRecord, ServerState
-from persimmonusher_lab.virtual_fleet import GAP_SECONDS, VirtualFleet, VirtualInstance
+from persimmonusher_lab.virtual_fleet import (
+    MAX_ANNOUNCEMENT_GAP_SECONDS,
+    VirtualFleet,
+    VirtualInstance,
+)
 from persimmonusher_model.identifiers import ServerId
 
 MIN_HEARD_SECONDS: Final = 12.0
@@ -42,7 +46,7 @@
     def check_step(self, instance: VirtualInstance) -> None:
         """Check that no freshness went back and that no announcing server is held as lost."""
         self.steps += 1
-        changes = (instance.life, instance.fleet.directory.changes)
+        changes = (instance.start_number, instance.fleet.directory.changes)
         if self._checked.get(instance.number) == changes:
             return
         self._checked[instance.number] = changes
@@ -51,8 +55,8 @@
             if record is None:
                 continue
             self._check_freshness(instance, record)
-            heard_long = self._fleet.now - server.heard_since > MIN_HEARD_SECONDS
-            heard_lately = self._fleet.now - server.heard_last < GAP_SECONDS
+            heard_long = self._fleet.now - server.announced_since > MIN_HEARD_SECONDS
+            heard_lately = self._fleet.now - server.last_announced_at < MAX_ANNOUNCEMENT_GAP_SECONDS
             if record.lost and heard_long and heard_lately:
                 self._report("an announcing server is lost", instance.name, repr(record.version))
 
@@ -100,7 +104,7 @@
             self._report("digests differ", "fleet", f"{len(digests)} digests")
 
     def _check_freshness(self, instance: VirtualInstance, record: ServerRecord) -> None:
-        place = (instance.number, instance.life, record.server_id)
+        place = (instance.number, instance.start_number, record.server_id)
         before = self._newest.get(place, ())
         if record.version < before:
             detail = f"{record.server_id} from {before} to {record.version}"
--- a/packages/lab/src/persimmonusher_lab/membership_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/membership_matrix.py
@@ -158,7 +158,7 @@
         """
         fleet = self._fleet
         ready = server.record
-        fleet.tell(server, ServerState.DRAINING, entry=1)
+        fleet.announce_to(server, ServerState.DRAINING, entry=1)
         fleet.run(0.3)
         fleet.deliver(ready, 2)
         took = fleet.run_until(lambda: self._all_know_drain(server), DRAIN_LIMIT_SECONDS)
@@ -167,8 +167,8 @@
             self._checker.check_state(server.record.server_id, ServerState.DRAINING, affected)
         fleet.run(max(0.0, 13.5 - fleet.now))
         server.announcing = False
-        fleet.tell(server, ServerState.STOPPED, entry=0)
-        fleet.tell(server, ServerState.STOPPED, entry=3)
+        fleet.announce_to(server, ServerState.STOPPED, entry=0)
+        fleet.announce_to(server, ServerState.STOPPED, entry=3)
         fleet.run(0.5)
         fleet.deliver(ready, 4)
         return None if took is None else took + 0.3
--- a/packages/lab/src/persimmonusher_lab/membership_measure.py
+++ b/packages/lab/src/persimmonusher_lab/membership_measure.py
@@ -150,7 +150,7 @@
             server = fleet.random.choice(servers)
             states = [ServerState.READY, ServerState.DRAINING]
             state = states[server.record.state is ServerState.READY]
-            fleet.tell(server, state, fleet.random.randrange(size))
+            fleet.announce_to(server, state, fleet.random.randrange(size))
             next_change += fleet.random.expovariate(4 * rate)
         fleet.run(0.1)
 
@@ -163,7 +163,7 @@
     took: list[float] = []
     missed = 0
     for server in servers:
-        fleet.tell(server, ServerState.DRAINING, fleet.random.randrange(size))
+        fleet.announce_to(server, ServerState.DRAINING, fleet.random.randrange(size))
         all_drain = partial(_all_drain, fleet, server.record.server_id)
         seconds = fleet.run_until(all_drain, 20.0)
         missed += seconds is None
--- a/packages/lab/src/persimmonusher_lab/virtual_fleet.py
+++ b/packages/lab/src/persimmonusher_lab/virtual_fleet.py
@@ -22,7 +22,7 @@
 ANNOUNCE_SECONDS: Final = 1.0
 ANNOUNCE_TRIES: Final = 3
 """Entries that a server tries for one announcement, while they answer that they are cut off."""
-GAP_SECONDS: Final = 2.5
+MAX_ANNOUNCEMENT_GAP_SECONDS: Final = 2.5
 """A longer gap means that no running entry accepted two announcements in a row."""
 MIN_LATENCY: Final = 0.001
 MAX_LATENCY: Final = 0.003
@@ -40,7 +40,7 @@
     fleet: FleetMembership
     running: bool = True
     frozen: bool = False
-    life: int = 0
+    start_number: int = 0
     """Rises with each crash and restart, so that events of an earlier life are ignored."""
     waiting: list[Callable[[], None]] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
@@ -62,16 +62,16 @@
 
     record: ServerRecord
     announcing: bool = True
-    heard_last: float = 0.0
+    last_announced_at: float = 0.0
     """When an entry last accepted an announcement of it, unless that entry was cut off."""
-    heard_since: float = 0.0
-    """Since when it has been heard without a gap of more than `GAP_SECONDS`."""
+    announced_since: float = 0.0
+    """Since when no gap between announcements exceeded `MAX_ANNOUNCEMENT_GAP_SECONDS`."""
 
-    def note_heard(self, now: float) -> None:
+    def record_announcement(self, now: float) -> None:
         """Record that an entry accepted an announcement."""
-        if now - self.heard_last > GAP_SECONDS:
-            self.heard_since = now
-        self.heard_last = now
+        if now - self.last_announced_at > MAX_ANNOUNCEMENT_GAP_SECONDS:
+            self.announced_since = now
+        self.last_announced_at = now
 
 
 class VirtualFleet:
@@ -144,7 +144,7 @@
         """End a process at once; what it held in memory is gone."""
         instance = self.instances[number]
         instance.running = False
-        instance.life += 1
+        instance.start_number += 1
         instance.waiting.clear()
 
     def leave(self, number: int) -> None:
@@ -158,9 +158,9 @@
 
         Its wall clock is off by `clock_offset` seconds.
         """
-        life = self.instances[number].life + 1
+        start_number = self.instances[number].start_number + 1
         self.instances[number] = self._create(number, clock_offset)
-        self.instances[number].life = life
+        self.instances[number].start_number = start_number
         self._start(self.instances[number])
 
     def freeze(self, number: int) -> None:
@@ -213,7 +213,7 @@
         )
         return server
 
-    def tell(self, server: VirtualServer, state: ServerState, entry: int) -> ServerRecord:
+    def announce_to(self, server: VirtualServer, state: ServerState, entry: int) -> ServerRecord:
         """Announce a state to one chosen entry now, outside the server's regular announcements."""
         sequence = server.record.sequence + 1
         server.record = replace(server.record, state=state, sequence=sequence)
@@ -242,14 +242,14 @@
         return VirtualInstance(number, FleetMembership(own, seeds, random, self._limits))
 
     def _start(self, instance: VirtualInstance) -> None:
-        life = instance.life
+        start_number = instance.start_number
         first = self.random.uniform(0.0, TICK_SECONDS)
-        self._after(first, lambda: self._tick(instance, life))
+        self._after(first, lambda: self._tick(instance, start_number))
 
-    def _tick(self, instance: VirtualInstance, life: int) -> None:
-        if instance.life != life or not instance.running:
+    def _tick(self, instance: VirtualInstance, start_number: int) -> None:
+        if instance.start_number != start_number or not instance.running:
             return
-        self._after(TICK_SECONDS, lambda: self._tick(instance, life))
+        self._after(TICK_SECONDS, lambda: self._tick(instance, start_number))
         if not instance.frozen:
             self._carry_out(instance, instance.fleet.tick(self.now))
 
@@ -323,7 +323,7 @@
         self._carry_out(instance, effects)
         server = self.servers.get(record.server_id)
         if server is not None and announced.relayed:
-            server.note_heard(self.now)
+            server.record_announcement(self.now)
         return announced.relayed
 
     def _after(self, seconds: float, event: Callable[[], None]) -> None:
