--- a/packages/agreement/tests/test_log_replacement.py
+++ b/packages/agreement/tests/test_log_replacement.py
@@ -34,7 +34,7 @@
         self.number += 1
         change = self.cluster.make_change(self.number, "clerk", "p", self.get_leader())
         for _ in range(400):
-            self.schedule.ask("", change)
+            self.schedule.propose("", change)
             if change.change_id in self.cluster.invariants.verdicts:
                 verdict = self.cluster.invariants.verdicts[change.change_id]
                 self.assertIsInstance(verdict, Accepted)
--- a/packages/agreement/tests/test_log_traps.py
+++ b/packages/agreement/tests/test_log_traps.py
@@ -28,7 +28,7 @@
         self.number += 1
         shown = self.cluster.find_leader()
         change = self.cluster.make_change(self.number, operator, name, shown)
-        self.schedule.ask("", change)
+        self.schedule.propose("", change)
         return change
 
     def accept(self, count: int = 1, name: str = "p") -> list[Change]:
@@ -214,7 +214,7 @@
                 before = len(self.cluster.invariants.verdicts)
                 late = self.change()
                 self.schedule.run(8.0)
-                self.schedule.ask(late.change_id)
+                self.schedule.propose(late.change_id)
                 self.schedule.run(2.0)
                 decided = len(self.cluster.invariants.verdicts) - before
                 self.assertEqual(decided, 1 if pause > 1 else 0)
@@ -269,7 +269,7 @@
                 change = self.change()
                 self.assertIsNone(self.cluster.keepers[name].running)
                 self.schedule.run(6.0)
-                self.schedule.ask(change.change_id)
+                self.schedule.propose(change.change_id)
                 self.schedule.run(2.0)
                 self.assertIn(change.change_id, self.cluster.invariants.verdicts)
                 self.check_all_agree()
--- a/packages/lab/src/persimmonusher_lab/log_cluster.py
+++ b/packages/lab/src/persimmonusher_lab/log_cluster.py
@@ -42,8 +42,8 @@
     identity: KeeperId
     disk: MemoryDisk = field(default_factory=MemoryDisk)
     running: ConfigurationKeeper | None = None
-    disks: int = 1
-    starts: int = 0
+    disk_count: int = 1
+    start_count: int = 0
     clock_offset: float = 0.0
 
 
@@ -75,7 +75,7 @@
     def start(self, name: str, now: float) -> None:
         """Start a keeper from what its disk holds."""
         keeper = self.keepers[name]
-        keeper.starts += 1
+        keeper.start_count += 1
         keeper.running = ConfigurationKeeper(
             keeper.identity,
             keeper.disk,
@@ -85,7 +85,7 @@
             self._snapshot_entries,
             Configuration(verdicts_kept=10_000),
             tolerance=self._tolerance,
-            first_answer=keeper.starts * ANSWER_NUMBERS_PER_START,
+            first_answer=keeper.start_count * ANSWER_NUMBERS_PER_START,
         )
 
     def crash(self, name: str) -> None:
@@ -97,8 +97,8 @@
         keeper = self.keepers[name]
         keeper.running = None
         keeper.disk = MemoryDisk()
-        keeper.disks += 1
-        keeper.identity = KeeperId(f"{name}#{keeper.disks}")
+        keeper.disk_count += 1
+        keeper.identity = KeeperId(f"{name}#{keeper.disk_count}")
 
     def deliver(self, message: LogMessage, lineage: str, now: float) -> None:
         """Deliver a message to its target, without the flush that follows."""
--- a/packages/lab/src/persimmonusher_lab/log_matrix.py
+++ b/packages/lab/src/persimmonusher_lab/log_matrix.py
@@ -94,7 +94,7 @@
             number += 1
             schedule.change(number, f"operator{number % 2}")
             schedule.run(0.33)
-        schedule.ask(f"operator{(number - 1) % 2}-{number - 1}")
+        schedule.propose(f"operator{(number - 1) % 2}-{number - 1}")
         schedule.pull(second % 2)
         leader = schedule.cluster.find_leader()
         if second in (4, 9) and leader is not None:
@@ -102,7 +102,7 @@
             others = [other for other in schedule.cluster.keepers if other != name]
             schedule.stop(name if second == 4 else others[0], 2.0 + second / 5)
     for _ in range(MAX_WAIT_STEPS):
-        if schedule.is_quiet():
+        if schedule.is_undisturbed():
             return
         number += 1
         schedule.change(number, "operator0")
@@ -116,14 +116,14 @@
     schedule.disarm()
     schedule.run(SETTLE_SECONDS)
     for _ in range(MAX_WAIT_STEPS):
-        if not schedule.is_quiet():
+        if not schedule.is_undisturbed():
             schedule.run(SETTLE_SECONDS)
     cluster = schedule.cluster
     for change_id in cluster.changes:
-        schedule.ask(change_id)
+        schedule.propose(change_id)
     schedule.run(SETTLE_SECONDS)
     last = cluster.make_change(1, "last", "last")
-    schedule.ask("", last)
+    schedule.propose("", last)
     schedule.run(SETTLE_SECONDS)
     if "last-1" not in cluster.invariants.verdicts:
         raise InvariantError("no change is decided after all faults have ended")
--- a/packages/lab/src/persimmonusher_lab/log_schedule.py
+++ b/packages/lab/src/persimmonusher_lab/log_schedule.py
@@ -102,7 +102,7 @@
                 self._tick(tick_name)
         self.now = end
 
-    def is_quiet(self) -> bool:
+    def is_undisturbed(self) -> bool:
         """Return whether no keeper is down or frozen and no link is cut."""
         ends = [*self._cut_until.values(), *self._down_until.values(), *self._frozen_until.values()]
         return all(end <= self.now for end in ends)
@@ -292,9 +292,9 @@
     def change(self, number: int, operator: str) -> None:
         """Make an operator's change and propose it to all keepers that aren't frozen."""
         change = self.cluster.make_change(number, operator)
-        self.ask(change.change_id, change)
+        self.propose(change.change_id, change)
 
-    def ask(self, change_id: str, change: object = None) -> None:
+    def propose(self, change_id: str, change: object = None) -> None:
         """Propose a change, new or resent, to all keepers in turn, as an operator's client does."""
         wanted = change or self.cluster.changes[change_id]
         for name in self.cluster.keepers:
