--- a/packages/lab/src/persimmonusher_lab/decisions_wellness.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_wellness.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class WellHours:
+class HealthyHours:
     """Ejections of healthy servers in the given server-hours."""
 
     site: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Stretch:
+class HoursPart:
     """One part of the simulated time, with its own seed."""
 
     site: str
@@ -95,15 +95,15 @@
     return start, start + 1 + round(seconds / SLICE_SECONDS)
 
 
-def run_stretch(stretch: Stretch) -> WellHours:
+def run_part(part: HoursPart) -> HealthyHours:
     """Run one part of the simulated time and count the ejections."""
-    site = TAKEUCHI if stretch.site == TAKEUCHI.name else GRAZIANI
-    generator = numpy.random.default_rng(stretch.seed)
+    site = TAKEUCHI if part.site == TAKEUCHI.name else GRAZIANI
+    generator = numpy.random.default_rng(part.seed)
     servers = [make_server(i, site.domains, site.slots, 0) for i in range(site.server_count)]
     assessor = Assessor(SERVICE, site.profile, InstanceId("assessor"), 1)
     assessor.replace_servers(servers, 0.0)
     server_ids = [server.server_id for server in servers]
-    chunks = int(stretch.seconds / (CHUNK_SLICES * SLICE_SECONDS))
+    chunks = int(part.seconds / (CHUNK_SLICES * SLICE_SECONDS))
     now = 0.0
     sequence = 0
     ejections = 0
@@ -122,7 +122,7 @@
             ejections += len(ejected - ejected_before)
             ejected_before = ejected
     hours = chunks * CHUNK_SLICES * SLICE_SECONDS / 3600.0 * site.server_count
-    return WellHours(site.name, hours, ejections)
+    return HealthyHours(site.name, hours, ejections)
 
 
 def _make_digests(
@@ -160,14 +160,14 @@
 
 def measure_healthy_hours(
     site: Site, server_hours: float, processes: int, seed: int = 0
-) -> WellHours:
+) -> HealthyHours:
     """Run the given server-hours, split over several processes."""
     parts = processes * 4
     seconds = server_hours / site.server_count * 3600.0 / parts
-    stretches = [Stretch(site.name, seconds, seed * 1000 + part) for part in range(parts)]
+    hour_parts = [HoursPart(site.name, seconds, seed * 1000 + part) for part in range(parts)]
     with get_context("spawn").Pool(processes) as pool:
-        results = pool.map(run_stretch, stretches, chunksize=1)
-    return WellHours(
+        results = pool.map(run_part, hour_parts, chunksize=1)
+    return HealthyHours(
         site.name,
         sum(result.server_hours for result in results),
         sum(result.ejections for result in results),
