--- a/packages/model/tests/test_comments.py
+++ b/packages/model/tests/test_comments.py
@@ -35,11 +35,11 @@
         }
         for name, source in planted.items():
             with self.subTest(name=name):
-                self.assertEqual(len(self.tool.find_stories(source, "m.py")), 1)
+                self.assertEqual(len(self.tool.find_tuning_comments(source, "m.py")), 1)
 
     def test_code_and_messages_are_let_be(self) -> None:
         source = 'text = "simulated"\nsimulated = 1\n'
-        self.assertEqual(self.tool.find_stories(source, "m.py"), [])
+        self.assertEqual(self.tool.find_tuning_comments(source, "m.py"), [])
 
 
 if __name__ == "__main__":
--- a/tools/check_comments.py
+++ b/tools/check_comments.py
@@ -54,7 +54,7 @@
             begins_statement = token.type in kinds
 
 
-def find_stories(source: str, path: str) -> list[TuningComment]:
+def find_tuning_comments(source: str, path: str) -> list[TuningComment]:
     """List the lines of one module's comments that describe how a value was found."""
     return [
         TuningComment(path, line, text)
@@ -69,7 +69,7 @@
     for folder in SHIPPED_FOLDERS:
         for path in sorted((ROOT / folder).rglob("*.py")):
             if not path.name.endswith("_pb2.py"):
-                found.extend(find_stories(path.read_text(), str(path.relative_to(ROOT))))
+                found.extend(find_tuning_comments(path.read_text(), str(path.relative_to(ROOT))))
     for finding in found:
         print(finding)
     return 1 if found else 0
