--- a/packages/lab/src/persimmonusher_lab/decisions_report.py
+++ b/packages/lab/src/persimmonusher_lab/decisions_report.py
@@ -46,7 +46,7 @@
     "entries_served": "entries served",
     "lowest_capacity": "lowest capacity",
     "false_ejections": "false ejections",
-    "ill_work": "work to faulty",
+    "ill_work": "work to ill",
     "share_fell_ms": "share fell ms",
     "detection_ms": "no work ms",
     "crashes": "crashes",
@@ -141,8 +141,7 @@
         ratio = figures["slow 8x"]["p99_ms"]["p50"] / figures["well"]["p99_ms"]["p50"]
         goals.append(
             Goal(
-                f"{site}: p99 with one server 8 times slower is within 1.3 times the healthy "
-                "fleet's",
+                f"{site}: p99 with one server 8 times slower is within 1.3 times the well fleet's",
                 f"{ratio:.2f} times",
                 ratio <= 1.3,
             )
