--- a/packages/agreement/tests/test_claims.py
+++ b/packages/agreement/tests/test_claims.py
@@ -13,7 +13,7 @@
 from persimmonusher_agreement.roster import Member, Observation, Roster, RosterPlanner
 from persimmonusher_model.identifiers import FailureDomain, InstanceId
 
-WINDOW = 600.0
+WINDOW_SECONDS = 600.0
 NAMES = [InstanceId(name) for name in ("r", "b", "c", "d", "e")]
 
 
@@ -25,7 +25,7 @@
 
 
 def make_request(token: str, version: int = 1, fingerprint: str = "entry") -> ClaimRequest:
-    return ClaimRequest("key", token, fingerprint, version, WINDOW, 10.0)
+    return ClaimRequest("key", token, fingerprint, version, WINDOW_SECONDS, 10.0)
 
 
 class RegisterTest(unittest.TestCase):
@@ -33,7 +33,7 @@
         self.registers = {name: self.start(name, 1) for name in NAMES}
 
     def start(self, name: InstanceId, boot: int, now: float = 0.0) -> Register:
-        register = Register(name, boot, WINDOW, now)
+        register = Register(name, boot, WINDOW_SECONDS, now)
         register.replace_roster(ROSTER)
         return register
 
@@ -69,8 +69,8 @@
                 self.assertEqual(record.state, expected)
 
     def test_a_claim_that_arrives_after_its_release_does_not_hold_the_key(self) -> None:
-        # A clerk's application is refused as not run, and each resend is told that it is still
-        # running. The claim's release overtook the claim itself, which then held the key.
+        # A request is refused as not run, but each resend is answered that it is still running: the
+        # release of the claim arrived before the claim itself, which then held the key.
         register = self.registers[NAMES[0]]
         register.settle(Settlement("key", "t1", None), 0.0)
         self.assertEqual(register.claim(make_request("t1"), 0.1).kind, VoteKind.ABSTAINED)
@@ -79,13 +79,17 @@
     def test_a_key_is_free_again_after_its_window(self) -> None:
         register = self.registers[NAMES[0]]
         register.claim(make_request("t1"), 0.0)
-        self.assertEqual(register.claim(make_request("t2"), WINDOW - 1).kind, VoteKind.TAKEN)
-        self.assertEqual(register.claim(make_request("t2"), WINDOW + 1).kind, VoteKind.GRANTED)
+        self.assertEqual(
+            register.claim(make_request("t2"), WINDOW_SECONDS - 1).kind, VoteKind.TAKEN
+        )
+        self.assertEqual(
+            register.claim(make_request("t2"), WINDOW_SECONDS + 1).kind, VoteKind.GRANTED
+        )
         self.assertEqual(register.record_count, 1)
 
     def test_a_restarted_register_abstains_until_it_has_read_three_peers(self) -> None:
-        # A fee was charged twice. A register granted its claim, restarted with empty memory, and
-        # granted a resend of the same key through another instance.
+        # A request ran twice: a register granted its claim, restarted with empty memory, and
+        # granted the same key to a resend through another instance.
         for name in "rbc":
             self.registers[InstanceId(name)].claim(make_request("t1"), 0.0)
         reborn = self.start(NAMES[0], 2)
@@ -95,8 +99,8 @@
         self.assertEqual(reborn.claim(make_request("t2"), 1.0).kind, VoteKind.TAKEN)
 
     def test_a_release_of_a_rival_does_not_uncover_a_lost_grant(self) -> None:
-        # A flat was assigned twice. The restarted register read back a losing rival's record and
-        # the winner's; when the rival gave its grant back, the register held nothing.
+        # A request ran twice: a restarted register read back the record of the winner and that of a
+        # losing rival; when the rival released its claim, the register held nothing.
         for name in "rbc":
             self.registers[InstanceId(name)].claim(make_request("winner"), 0.0)
         self.registers[InstanceId("d")].claim(make_request("rival"), 0.0)
@@ -106,7 +110,7 @@
         self.assertEqual(reborn.claim(make_request("t3"), 1.0).kind, VoteKind.TAKEN)
 
     def test_a_vote_of_an_earlier_boot_does_not_count(self) -> None:
-        # An entry ran twice. Register r granted t1 and restarted; it read b, d and e before t1
+        # A request ran twice: register r granted t1 and restarted; it read b, d and e before t1
         # reached b and c, found nothing, and granted t2. t1 still counted r's old grant.
         first = ClaimRound(make_request("t1"), ROSTER)
         first.receive(self.registers[NAMES[0]].claim(first.request, 0.0))
@@ -121,7 +125,7 @@
         self.assertNotEqual(first.status, RoundStatus.GRANTED)
 
     def test_known_boots_survive_a_second_restart(self) -> None:
-        # As above, but b restarts too before t1 reaches it, and must not forget r's new boot.
+        # As above, but b restarts too before t1 reaches it, and must read r's new boot back.
         first = ClaimRound(make_request("t1"), ROSTER)
         first.receive(self.registers[NAMES[0]].claim(first.request, 0.0))
         self.registers[NAMES[0]] = self.start(NAMES[0], 2)
@@ -133,28 +137,28 @@
         self.assertNotEqual(first.status, RoundStatus.GRANTED)
 
     def test_a_wall_clock_that_went_back_does_not_revive_old_votes(self) -> None:
-        # An entry ran twice. The wall clock went back over a restart, so the new life's boot was
-        # below the old one's, and the old life's vote passed for the newer.
+        # A request ran twice: the wall clock went back over a restart, so the boot of the new start
+        # was below that of the old one, and a vote from before the restart counted as newer.
         roster = Roster(1, make_members(NAMES, boot=50))
         registers = {}
         for name in NAMES:
-            registers[name] = Register(name, 50, WINDOW, 0.0)
+            registers[name] = Register(name, 50, WINDOW_SECONDS, 0.0)
             registers[name].replace_roster(roster)
-        reborn = Register(NAMES[0], 20, WINDOW, 0.0)
+        reborn = Register(NAMES[0], 20, WINDOW_SECONDS, 0.0)
         reborn.replace_roster(roster)
         self.assertEqual(reborn.boot, 51)
         for name in NAMES[1:4]:
             request = reborn.make_share_request()
             reborn.import_share(registers[name].export_share(request, 1.0), 1.0)
-        again = Register(NAMES[0], 30, WINDOW, 1.0)
+        again = Register(NAMES[0], 30, WINDOW_SECONDS, 1.0)
         again.import_share(registers[NAMES[1]].export_share(again.make_share_request(), 2.0), 2.0)
         self.assertEqual(again.boot, 52)
         again.replace_roster(roster)
         self.assertEqual(len(again.list_unread()), 4)
 
     def test_a_restarted_register_waits_for_a_roster_that_peers_know(self) -> None:
-        # The restarted instance pulled its configuration from an instance that lags behind; its
-        # peers hold claims under a newer roster, of which it can't judge.
+        # The restarted instance got its configuration from an instance that lags behind; its peers
+        # hold claims under a newer roster, which the restarted one doesn't know.
         newer = Roster(2, ROSTER.members, ROSTER.members)
         for name in "bcde":
             self.registers[InstanceId(name)].replace_roster(newer)
@@ -166,8 +170,8 @@
         self.assertEqual(vote.kind, VoteKind.GRANTED)
 
     def test_a_register_refuses_an_older_roster_and_abstains_under_a_newer_one(self) -> None:
-        # An instance that is cut off from the keepers claims under a roster two versions old,
-        # whose majorities need not meet those of today.
+        # An instance that is cut off from the keepers claims under a roster two versions old, whose
+        # majorities may share no register with those of the roster in force.
         register = self.registers[NAMES[0]]
         register.replace_roster(Roster(2, ROSTER.members, ROSTER.members))
         cases = [(1, VoteKind.STALE_ROSTER), (2, VoteKind.GRANTED), (3, VoteKind.ABSTAINED)]
@@ -219,10 +223,10 @@
 
     def test_the_first_version_waits_for_enough_instances_that_stay(self) -> None:
         planner = RosterPlanner(founding_size=5, settle_seconds=2.0)
-        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW, 0.0))
-        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW, 9.0))
-        self.assertIsNone(planner.plan(None, self.observe(NAMES, 0), WINDOW, 10.0))
-        founded = planner.plan(None, self.observe(NAMES, 0), WINDOW, 12.5)
+        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW_SECONDS, 0.0))
+        self.assertIsNone(planner.plan(None, self.observe(NAMES[:4], 0), WINDOW_SECONDS, 9.0))
+        self.assertIsNone(planner.plan(None, self.observe(NAMES, 0), WINDOW_SECONDS, 10.0))
+        founded = planner.plan(None, self.observe(NAMES, 0), WINDOW_SECONDS, 12.5)
         assert founded is not None
         self.assertEqual((founded.version, len(founded.members)), (1, 5))
 
@@ -231,11 +235,11 @@
         roster = Roster(2, make_members(NAMES))
         lagging = self.observe(NAMES[:2], 2) + self.observe(NAMES[2:4], 1)
         applied = self.observe(NAMES[:3], 2) + self.observe(NAMES[3:4], 1)
-        self.assertIsNone(planner.plan(roster, lagging, WINDOW, 0.0))
-        self.assertIsNone(planner.plan(roster, lagging, WINDOW, 5_000.0))
-        self.assertIsNone(planner.plan(roster, applied, WINDOW, 5_001.0))
-        self.assertIsNone(planner.plan(roster, applied, WINDOW, 5_600.0))
-        planned = planner.plan(roster, applied, WINDOW, 5_602.0)
+        self.assertIsNone(planner.plan(roster, lagging, WINDOW_SECONDS, 0.0))
+        self.assertIsNone(planner.plan(roster, lagging, WINDOW_SECONDS, 5_000.0))
+        self.assertIsNone(planner.plan(roster, applied, WINDOW_SECONDS, 5_001.0))
+        self.assertIsNone(planner.plan(roster, applied, WINDOW_SECONDS, 5_600.0))
+        planned = planner.plan(roster, applied, WINDOW_SECONDS, 5_602.0)
         assert planned is not None
         self.assertEqual(planned.version, 3)
         self.assertEqual({member.boot for member in planned.members}, {1})
--- a/packages/decisions/src/persimmonusher_decisions/strikes.py
+++ b/packages/decisions/src/persimmonusher_decisions/strikes.py
@@ -1,4 +1,4 @@
-"""The fleet's strikes against requests that crash servers, kept by a service's assessor."""
+"""Fleet-wide strikes against requests that crash servers, kept by a service's assessor."""
 
 from collections.abc import Iterable
 
@@ -12,63 +12,69 @@
 
 
 class StrikeBoard:
-    """Counts the servers that broke under each fingerprint, over all entry instances.
+    """Counts the servers that broke while running each fingerprint, over all entry instances.
 
-    The failure it is for: a caller resends a request that crashes servers, and each resend
-    reaches another entry instance, which sees its first break only. Fewer servers than the
-    profile's crash_strikes are lost after the last of these breaks is known here.
+    A caller may resend a request that crashes servers, and each resend may reach another entry
+    instance, which sees only its first break. Here the breaks add up to a quarantine for the whole
+    fleet: after the last of them is known here, fewer servers than `crash_strikes` are lost.
     """
 
     def __init__(self, strikes: int, seconds: float) -> None:
         self._strikes = strikes
         self._seconds = seconds
-        self._struck: dict[str, dict[ServerId, float]] = {}
-        self._until: dict[str, float] = {}
+        self._broken_servers: dict[str, dict[ServerId, float]] = {}
+        self._quarantined_until: dict[str, float] = {}
 
     def replace_limits(self, strikes: int, seconds: float) -> None:
-        """Take a new profile's limits."""
+        """Apply a new profile's `crash_strikes` and quarantine time."""
         self._strikes = strikes
         self._seconds = seconds
 
     def receive(self, strikes: Iterable[Strike], now: float) -> None:
-        """Add what an instance tells."""
+        """Record an instance's strikes; a success clears its fingerprint."""
         for strike in strikes:
             if strike.kind is StrikeKind.SUCCESS:
-                self._struck.pop(strike.fingerprint, None)
-                self._until.pop(strike.fingerprint, None)
+                self._broken_servers.pop(strike.fingerprint, None)
+                self._quarantined_until.pop(strike.fingerprint, None)
                 continue
-            servers = self._struck.setdefault(strike.fingerprint, {})
+            servers = self._broken_servers.setdefault(strike.fingerprint, {})
             servers[strike.server_id] = now
             if len(servers) >= self._strikes:
-                self._until[strike.fingerprint] = now + self._seconds
+                self._quarantined_until[strike.fingerprint] = now + self._seconds
 
     def list_quarantines(self, now: float) -> tuple[QuarantinedRequest, ...]:
-        """List the quarantined fingerprints, the newest first, within the set's bound."""
+        """List quarantined fingerprints, newest first, at most MAX_QUARANTINES_IN_SET."""
         self._forget_old(now)
-        newest = sorted(self._until.items(), key=lambda item: -item[1])[:MAX_QUARANTINES_IN_SET]
+        newest = sorted(self._quarantined_until.items(), key=lambda item: -item[1])[
+            :MAX_QUARANTINES_IN_SET
+        ]
         return tuple(
             QuarantinedRequest(
-                fingerprint, until - now, tuple(sorted(self._struck.get(fingerprint, {})))
+                fingerprint, until - now, tuple(sorted(self._broken_servers.get(fingerprint, {})))
             )
             for fingerprint, until in newest
         )
 
     def list_watched(self) -> tuple[str, ...]:
-        """List fingerprints with strikes that aren't quarantined, the newest first."""
-        watched = [name for name in self._struck if name not in self._until]
+        """List the newest fingerprints with strikes that aren't quarantined, oldest first."""
+        watched = [name for name in self._broken_servers if name not in self._quarantined_until]
         return tuple(watched[-MAX_QUARANTINES_IN_SET:])
 
     def has_struck(self, server_id: ServerId) -> bool:
-        """Tell whether a quarantined request has broken the server."""
-        return any(server_id in self._struck.get(name, {}) for name in self._until)
+        """Return whether a quarantined request has broken the server."""
+        return any(
+            server_id in self._broken_servers.get(name, {}) for name in self._quarantined_until
+        )
 
     def _forget_old(self, now: float) -> None:
-        for fingerprint in [name for name, until in self._until.items() if until <= now]:
-            del self._until[fingerprint]
-            self._struck.pop(fingerprint, None)
+        for fingerprint in [
+            name for name, until in self._quarantined_until.items() if until <= now
+        ]:
+            del self._quarantined_until[fingerprint]
+            self._broken_servers.pop(fingerprint, None)
         for fingerprint in [
             name
-            for name, servers in self._struck.items()
+            for name, servers in self._broken_servers.items()
             if now - max(servers.values()) > self._seconds
         ]:
-            del self._struck[fingerprint]
+            del self._broken_servers[fingerprint]
--- a/packages/decisions/tests/test_asking_series.py
+++ b/packages/decisions/tests/test_asking_series.py
@@ -1,6 +1,6 @@
-"""Seeded series of servers that name limits, ask for rest and leave, with disturbed instances.
+"""Seeded simulations of servers that name limits, ask for rest or leave, with disturbed instances.
 
-Other seeds by hand: `ASKING_SEEDS="20 21 22"` in the environment of the test run.
+To run other seeds, set `ASKING_SEEDS="20 21 22"` in the environment of the test run.
 """
 
 import os
@@ -16,7 +16,7 @@
 
 SEEDS = tuple(map(int, os.environ.get("ASKING_SEEDS", "1 2 3 4 5 6").split()))
 PROFILE = Profile(suspect_ms=4_000, hedge_slow=True, retry_slack=50, retry_budget_percent=20)
-SECONDS = 40.0
+RUN_SECONDS = 40.0
 STABLE_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 TOLD_SECONDS = 0.5
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Wish:
-    """What a server asks for over a time."""
+    """What a server asks for between two times."""
 
     server_id: ServerId
     begin: float
@@ -35,12 +35,12 @@
     advice: ServerAdvice
 
     def holds(self, server_id: ServerId, now: float) -> bool:
-        """Tell whether a server's answers say so at a moment."""
+        """Return whether this server's answers ask for it at this time."""
         return server_id == self.server_id and self.begin <= now < self.end
 
 
 def draw_wishes(random: Random, servers: int) -> list[Wish]:
-    """Draw one server that leaves and, for each other one, a time of a limit or of rests."""
+    """Draw a leaving for server 0 and, for each other server, a period with a limit or rests."""
     wishes = []
     for index in range(servers):
         begin = random.uniform(2.0, 20.0)
@@ -52,7 +52,7 @@
             )
         )
         if index == 0:
-            end, advice = SECONDS, ServerAdvice(is_leaving=True)
+            end, advice = RUN_SECONDS, ServerAdvice(is_leaving=True)
         wishes.append(Wish(ServerId(f"s{index}"), begin, end, advice))
     return wishes
 
@@ -62,7 +62,7 @@
         instances=random.choice((6, 36, 80)),
         servers=random.randint(2, 8),
         requests_a_second=random.choice((0.5, 2.0, 4.0)),
-        seconds=SECONDS,
+        seconds=RUN_SECONDS,
         lost_share=random.choice((0.0, 0.3, 0.9)),
         cut_share=random.choice((0.0, 0.3)),
         counted_share=random.choice((1.0, 0.6)),
@@ -73,7 +73,9 @@
 class AskingSeriesTest(unittest.TestCase):
     def check_limit(self, seen: Seen, wish: Wish) -> None:
         rate = wish.advice.rate_limit or 0.0
-        counted = [arrival.at for arrival in seen.list_told_arrivals(wish.server_id, TOLD_SECONDS)]
+        counted = [
+            arrival.at for arrival in seen.list_informed_arrivals(wish.server_id, TOLD_SECONDS)
+        ]
         for end in counted:
             if wish.begin + WORK_SECONDS + STABLE_SECONDS <= end < wish.end:
                 count = sum(end - WINDOW_SECONDS < at <= end for at in counted)
@@ -92,10 +94,10 @@
             self.assertLessEqual(count, SENT_IN_REST, rest)
 
     def check_leaving(self, seen: Seen, wish: Wish) -> None:
-        late = seen.list_told_arrivals(wish.server_id, DRAIN_SECONDS)
+        late = seen.list_informed_arrivals(wish.server_id, DRAIN_SECONDS)
         self.assertEqual(late, [], wish)
 
-    # Guards against any word of a server being passed by while instances restart and hear nothing.
+    # Guards against limits, rests or leaving being ignored while instances restart or miss notices.
     def test_what_servers_ask_for_is_kept_in_seeded_series(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
