--- a/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
+++ b/packages/agreement/src/persimmonusher_agreement/configuration_keeper.py
@@ -81,7 +81,7 @@
         return cls(copies=losses + 1, voters=2 * losses + 1)
 
 
-ANY_KEEPERS: Final = LossTolerance()
+DEFAULT_TOLERANCE: Final = LossTolerance()
 
 
 class ConfigurationKeeper:
@@ -99,8 +99,8 @@
         timing: LogTiming = LogTiming(),  # noqa: B008 - frozen
         snapshot_entries: int = SNAPSHOT_ENTRIES,
         configuration: Configuration | None = None,
-        compacts_itself: bool = True,
-        tolerance: LossTolerance = ANY_KEEPERS,
+        compacts_on_flush: bool = True,
+        tolerance: LossTolerance = DEFAULT_TOLERANCE,
         first_answer: int = 1,
     ) -> None:
         self._replica = LogReplica(
@@ -108,11 +108,11 @@
         )
         self._tolerance = tolerance
         self._snapshot_entries = snapshot_entries
-        self._compacts_itself = compacts_itself
+        self._compacts_on_flush = compacts_on_flush
         self.configuration = configuration or Configuration()
         self._applied = 0
         self._verdicts: dict[str, Verdict] = {}
-        self._take_installed()
+        self._apply_installed()
 
     @property
     def replica(self) -> LogReplica:
@@ -201,12 +201,12 @@
     def flush(self) -> KeeperOutput:
         """Make everything durable, apply committed entries, and return messages and verdicts."""
         messages = self._replica.flush()
-        self._take_installed()
-        for entry in self._replica.take_committed():
+        self._apply_installed()
+        for entry in self._replica.pop_committed():
             self._applied = entry.index
             if isinstance(entry.command, Change):
                 self._verdicts[entry.command.change_id] = self.configuration.apply(entry.command)
-        snapshot = self.capture_if_due() if self._compacts_itself else None
+        snapshot = self.capture_if_due() if self._compacts_on_flush else None
         if snapshot is not None:
             self.compact(snapshot)
         verdicts, self._verdicts = self._verdicts, {}
@@ -233,8 +233,8 @@
         """Return whether a change of keepers is not committed yet."""
         return self._replica.log.members_index > self._replica.commit
 
-    def _take_installed(self) -> None:
-        snapshot = self._replica.take_installed()
+    def _apply_installed(self) -> None:
+        snapshot = self._replica.pop_installed()
         if snapshot is not None:
             self.configuration.restore(snapshot.state)
             self._applied = snapshot.index
--- a/packages/agreement/src/persimmonusher_agreement/membership.py
+++ b/packages/agreement/src/persimmonusher_agreement/membership.py
@@ -18,7 +18,7 @@
 
 from persimmonusher_agreement.active_time import ActiveTime
 from persimmonusher_agreement.anti_entropy import MAX_REPAIR_BYTES, split_records
-from persimmonusher_agreement.directory import Announced, Directory
+from persimmonusher_agreement.directory import AnnouncementResult, Directory
 from persimmonusher_agreement.exchanges import Exchanges
 from persimmonusher_agreement.gossip import GossipQueue, count_transmissions
 from persimmonusher_agreement.member_record import MemberRecord
@@ -113,7 +113,7 @@
         return self._store.digest
 
     @property
-    def is_heard(self) -> bool:
+    def has_peer_contact(self) -> bool:
         """Return whether others answer this instance, or it is the whole fleet."""
         return self.members.is_alone or self.prober.has_recent_answer(self._time.seconds)
 
@@ -127,7 +127,7 @@
         limits = self._limits
         self._probe(active)
         self._run_every(limits.gossip_interval, self._outbox.spread, active)
-        self._run_every(limits.silence_interval, self._check_heartbeats, active)
+        self._run_every(limits.silence_check_seconds, self._check_heartbeats, active)
         self._run_every(limits.reconnect_interval, self._probe_dead, active)
         alone = len(self.members.live) == 1
         self._run_every(1.0 if alone else limits.seed_interval, self._join, active)
@@ -153,11 +153,11 @@
         self._handlers[type(envelope.body)](envelope.body, envelope, source, active)
         return self._outbox.drain()
 
-    def announce(self, record: ServerRecord, now: float) -> tuple[Announced, list[Effect]]:
+    def announce(self, record: ServerRecord, now: float) -> tuple[AnnouncementResult, list[Effect]]:
         """Process a backend server's announcement to this instance, about one a second."""
         active = self._advance(now)
         if active < self._drop_until:
-            return Announced(accepted=False, changed=False, relayed=False), []
+            return AnnouncementResult(accepted=False, changed=False, relayed=False), []
         announced = self.directory.announce(record, active)
         if announced.changed:
             self._publish_change(record, active)
@@ -165,7 +165,7 @@
         if announced.accepted:
             for outgoing in self.heartbeats.forward(record, active):
                 self._outbox.send(outgoing)
-        return replace(announced, relayed=self.is_heard), self._outbox.drain()
+        return replace(announced, relayed=self.has_peer_contact), self._outbox.drain()
 
     def leave(self, now: float) -> list[Effect]:
         """Notify several instances at once that this one leaves; call nothing else afterwards."""
@@ -183,7 +183,7 @@
         pause = self._time.take_pause()
         if pause:
             self.prober.abandon_round()
-        if pause > self._limits.stopped_retention * MAX_ISOLATION_SHARE:
+        if pause > self._limits.stopped_retention_seconds * MAX_ISOLATION_SHARE:
             self._mark_unconfirmed(active)
             self._drop_until = active + self._limits.drop_after_pause_seconds
         return active
@@ -204,7 +204,10 @@
         self.directory.may_confirm = self.members.sees_majority
         if not self.members.sees_majority:
             self._minority_seen_at = active
-            if active - self._isolated_since > limits.stopped_retention * MAX_ISOLATION_SHARE:
+            if (
+                active - self._isolated_since
+                > limits.stopped_retention_seconds * MAX_ISOLATION_SHARE
+            ):
                 self._mark_unconfirmed(active)
             return
         self._isolated_since = active
--- a/packages/agreement/tests/test_membership_steps.py
+++ b/packages/agreement/tests/test_membership_steps.py
@@ -127,7 +127,7 @@
         A virtual machine is paused for a day and continues. Its sockets hold rumours and an
         announcement of a server that stopped long ago, and whose tombstone all have removed.
         """
-        self.now += LIMITS.stopped_retention
+        self.now += LIMITS.stopped_retention_seconds
         self.receive(wrap(Rumour(), READY))
         announced, _ = self.fleet.announce(READY, self.now)
         self.assertEqual((announced.accepted, announced.relayed), (False, False))
@@ -151,10 +151,10 @@
         assert isinstance(body, Ping)
         number = int(pings[-1].address.split(":")[0].rsplit(".", 1)[1])
         self.receive(wrap(Ack(body.sequence, InstanceId(f"entry-{number}")), sender=number))
-        self.assertTrue(self.fleet.is_heard)
+        self.assertTrue(self.fleet.has_peer_contact)
         for _ in range(50):
             self.step()
-        self.assertFalse(self.fleet.is_heard)
+        self.assertFalse(self.fleet.has_peer_contact)
 
     def step(self) -> list[Effect]:
         self.now += 0.1
--- a/packages/decisions/src/persimmonusher_decisions/evidence.py
+++ b/packages/decisions/src/persimmonusher_decisions/evidence.py
@@ -48,15 +48,15 @@
 class Attempt:
     """One attempt in flight."""
 
-    __slots__ = ("dispatch", "overdue", "stuck", "taken", "track")
+    __slots__ = ("dispatch", "overdue", "stuck", "collected", "track")
 
     def __init__(self, dispatch: Dispatch, track: ServerTrack) -> None:
         self.dispatch = dispatch
         self.track = track
         self.overdue = False
         self.stuck = False
-        self.taken = False
-        """Whether `take_overdue` has returned this attempt."""
+        self.collected = False
+        """Whether `collect_newly_overdue` has returned this attempt."""
 
 
 class EvidenceLog:
@@ -146,17 +146,17 @@
             return SLOW_FACTOR * self.recent_latency
         return limit
 
-    def take_overdue(self, now: float) -> list[Attempt]:
+    def collect_newly_overdue(self, now: float) -> list[Attempt]:
         """Return the attempts that became overdue since the last call; none under saturation."""
         if self._slow_share >= SATURATED_SLOW_SHARE:
             return []
         overdue = [item for item in self._attempts.values() if self._is_overdue(item, now)]
         for attempt in overdue:
-            attempt.taken = True
+            attempt.collected = True
         return overdue
 
     def _is_overdue(self, attempt: Attempt, now: float) -> bool:
-        if attempt.taken:
+        if attempt.collected:
             return False
         limit = self.find_slow_limit(attempt.dispatch.request.request_class)
         return limit is not None and now - attempt.dispatch.started > limit
@@ -205,7 +205,7 @@
             if not attempt.overdue:
                 track.timed += 1
                 track.slow += slow
-        if track.out is None:
+        if track.ejection_state is None:
             baseline.record(latency)
 
     def _find_baseline(self, request_class: str) -> LatencyBaseline:
@@ -248,14 +248,14 @@
     return track.failed > 0 or (track.slow >= URGENT_SLOW_ANSWERS and 2 * track.slow > track.timed)
 
 
-def take_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
+def pop_due_evidence(tracks: Iterable[ServerTrack], now: float) -> tuple[ServerEvidence, ...]:
     """Return the lines of the next digest, abnormal servers first, and mark them as sent."""
     due = [track for track in tracks if _is_due(track, now)]
-    due.sort(key=lambda track: (not track.is_abnormal, track.told_at))
-    return tuple(track.take_evidence(now) for track in due[:MAX_SERVERS_IN_DIGEST])
+    due.sort(key=lambda track: (not track.is_abnormal, track.evidence_sent_at))
+    return tuple(track.pop_evidence(now) for track in due[:MAX_SERVERS_IN_DIGEST])
 
 
 def _is_due(track: ServerTrack, now: float) -> bool:
     if track.is_abnormal or track.answered >= ROUTINE_ANSWERS:
         return True
-    return track.answered > 0 and now - track.told_at >= ROUTINE_INTERVAL_SECONDS
+    return track.answered > 0 and now - track.evidence_sent_at >= ROUTINE_INTERVAL_SECONDS
--- a/packages/decisions/src/persimmonusher_decisions/placement.py
+++ b/packages/decisions/src/persimmonusher_decisions/placement.py
@@ -83,7 +83,7 @@
         self._limited: list[ServerTrack] = []
         self._refresh_at = -inf
         self._lookup_at = -inf
-        self._mean_others = 0.0
+        self._mean_other_load = 0.0
         self.ramp_seconds = 0.0
         self.proving_seconds = 0.0
         """Time after a server's failure before a lookup may try it."""
@@ -102,7 +102,7 @@
         self._skip_turns(now)
         return any(track.may_take(now) for track in self._open)
 
-    def find_seconds_closed(self, now: float) -> float:
+    def find_seconds_until_open(self, now: float) -> float:
         """Return the seconds until the first open server accepts requests of this instance again.
 
         0 if one does now, or if there is no open server. Servers are closed to an instance by a
@@ -120,10 +120,10 @@
         """Replace the known servers; called after any change of them or of their ejections."""
         self._tracks = list(tracks)
         ready = [track for track in self._tracks if track.is_ready and track.connection_limit]
-        self._open = [track for track in ready if track.out is None]
+        self._open = [track for track in ready if track.ejection_state is None]
         self._near = [track for track in self._open if self._is_near(track)]
         self._far = [track for track in self._open if not self._is_near(track)]
-        self._probed = [track for track in ready if track.out is EjectionState.PROBATION]
+        self._probed = [track for track in ready if track.ejection_state is EjectionState.PROBATION]
         self._refresh(now, 0.0)
 
     def choose(self, idempotent: bool, tried: ServerId | None, now: float) -> ServerTrack | None:
@@ -161,7 +161,9 @@
         if best is not None and (
             best.load <= CROWDED_LOAD_PER_SLOT or self._has_recent_lookup(now)
         ):
-            kept = [track for track in candidates if track.spared and track.is_suspected(now)]
+            kept = [
+                track for track in candidates if track.kept_by_floor and track.is_suspected(now)
+            ]
             other = self._find_least_loaded(kept, None, now)
             return (
                 other
@@ -202,19 +204,21 @@
             best = self._find_longest_suspected(candidates, tried, now) or best
         return best or self._find_least_loaded(candidates, tried, now)
 
-    def learn_load(self, track: ServerTrack, reported_load: int) -> None:
+    def record_load(self, track: ServerTrack, reported_load: int) -> None:
         """Record a server's requests in progress as reported, this instance's own included."""
-        others = max(0.0, float(reported_load - track.outstanding))
-        mean = self._mean_others
+        other_load = max(0.0, float(reported_load - track.outstanding))
+        mean = self._mean_other_load
         highest = max(MAX_REPORT_FACTOR * mean, mean + track.slots)
-        track.others = min(highest, max(mean / MAX_REPORT_FACTOR, others))
-        track.base = track.others + track.penalty
+        track.other_load = min(highest, max(mean / MAX_REPORT_FACTOR, other_load))
+        track.base_load = track.other_load + track.penalty
 
     def penalize(self, track: ServerTrack, share: float) -> None:
         """Lower a server's share of work for some seconds, as if `share` of its slots were busy."""
         largest = MAX_PENALTY_PER_SLOT * track.slots
         track.penalty = min(largest, track.penalty + share * track.slots)
-        track.base = (self._mean_others if track.others is None else track.others) + track.penalty
+        track.base_load = (
+            self._mean_other_load if track.other_load is None else track.other_load
+        ) + track.penalty
 
     def _sample_unsuspected(self, now: float) -> list[ServerTrack]:
         """Return a few unsuspected open servers, from this failure domain and from the others.
@@ -258,7 +262,7 @@
         best_score = inf
         for track in servers:
             outstanding = track.outstanding
-            score = (outstanding + 1 + track.base) * track.inverse + track.bias
+            score = (outstanding + 1 + track.base_load) * track.inverse_slots + track.far_load
             if (
                 score < best_score
                 and outstanding < track.connection_limit
@@ -313,24 +317,26 @@
 
     def _refresh(self, now: float, elapsed: float) -> None:
         self._refresh_at = now + REFRESH_INTERVAL_SECONDS
-        known = [track.others for track in self._open if track.others is not None]
+        known = [track.other_load for track in self._open if track.other_load is not None]
         mean = sum(known) / len(known) if known else 0.0
-        self._mean_others = mean
+        self._mean_other_load = mean
         report_keep = exp(-elapsed / REPORT_MEMORY_SECONDS)
         penalty_keep = exp(-elapsed / PENALTY_MEMORY_SECONDS)
         self._limited = [track for track in self._open if track.rate_limit is not None]
         for track in self._tracks:
-            track.bias = 0.0 if self._is_near(track) else self.far_load
-            if track.others is not None:
-                difference = (track.others - mean) * report_keep
-                track.others = (
+            track.far_load = 0.0 if self._is_near(track) else self.far_load
+            if track.other_load is not None:
+                difference = (track.other_load - mean) * report_keep
+                track.other_load = (
                     mean if abs(difference) < MIN_DIFFERENCE_REQUESTS else mean + difference
                 )
             track.penalty *= penalty_keep
             if track.penalty < MIN_PENALTY_PER_SLOT * track.slots:
                 track.penalty = 0.0
             share = self._update_ramp(track, now)
-            track.base = (mean * share if track.others is None else track.others) + track.penalty
+            track.base_load = (
+                mean * share if track.other_load is None else track.other_load
+            ) + track.penalty
         if elapsed:
             for servers in (self._open, self._near, self._far):
                 self._random.shuffle(servers)
@@ -344,5 +350,5 @@
             share = find_ramp_share(now - track.ramp_from, self.ramp_seconds)
             if share >= 1.0:
                 track.ramp_from = None
-        track.inverse = 1.0 / (track.slots * share)
+        track.inverse_slots = 1.0 / (track.slots * share)
         return share
--- a/packages/decisions/src/persimmonusher_decisions/suspicion.py
+++ b/packages/decisions/src/persimmonusher_decisions/suspicion.py
@@ -101,7 +101,7 @@
         """Learned factor on the profile's `suspect_ms`."""
         self._answers = 0
 
-    def take_notices(self) -> tuple[Notice, ...]:
+    def pop_notices(self) -> tuple[Notice, ...]:
         """Return and clear the notices to be sent to other instances at once."""
         if not self._notices:
             return ()
@@ -136,7 +136,7 @@
             # This instance can't reach the server, whether or not others can.
             self.suspect(track, tracks, profile, now)
         else:
-            self.take(notice, track, tracks, profile, now)
+            self.apply_notice(notice, track, tracks, profile, now)
 
     def _learn_duration(self, track: ServerTrack, in_a_row: bool) -> None:
         """Adapt the duration of suspicions to how long faults last in this service."""
@@ -163,7 +163,7 @@
         weight = max(NEWEST_LATENCY_WEIGHT, 1.0 / self._answers)
         self._usual_latency += weight * (latency - self._usual_latency)
 
-    def take(
+    def apply_notice(
         self,
         notice: Notice,
         track: ServerTrack,
@@ -200,13 +200,13 @@
         track.suspected_at = now
         longest = MAX_DURATION_FACTOR * profile.suspect_ms / 1000.0
         track.suspect_until = now + min(longest, seconds * 2 ** (track.suspicions - 1))
-        track.spared = False
+        track.kept_by_floor = False
         suspected = [item for item in tracks if item.is_avoided(now)]
         allowed = find_max_suspects(len(tracks), profile)
         if len(suspected) > allowed:
             suspected.sort(key=lambda item: item.suspected_at)
             for item in suspected[: len(suspected) - allowed]:
-                item.spared = True
+                item.kept_by_floor = True
         return is_news
 
     @staticmethod
--- a/packages/decisions/src/persimmonusher_decisions/track.py
+++ b/packages/decisions/src/persimmonusher_decisions/track.py
@@ -11,23 +11,23 @@
 class ServerTrack:
     """Mutable state of one server at one instance; the hot path reads its attributes directly.
 
-    `base`, `inverse` and `bias` are the precomputed parts of the placement score.
+    `base_load`, `inverse_slots` and `far_load` are the precomputed parts of the placement score.
     `answered`, `failed`, `timed` and `slow` count evidence for the next digest.
     """
 
     __slots__ = (
         "answered",
-        "base",
-        "bias",
+        "base_load",
+        "far_load",
         "closed_until",
         "connection_limit",
         "doubts",
         "draining",
         "failed",
-        "inverse",
+        "inverse_slots",
         "limit_named_at",
-        "others",
-        "out",
+        "other_load",
+        "ejection_state",
         "outstanding",
         "penalty",
         "rate_limit",
@@ -38,12 +38,12 @@
         "server",
         "server_id",
         "slow",
-        "spared",
+        "kept_by_floor",
         "slots",
         "suspect_until",
         "suspected_at",
         "suspicions",
-        "told_at",
+        "evidence_sent_at",
         "turn_at",
         "timed",
     )
@@ -53,29 +53,29 @@
         self.server_id = server.server_id
         self.slots = max(1, server.slots)
         self.outstanding = 0
-        self.others: float | None = None
+        self.other_load: float | None = None
         """Requests of all other instances in progress there, as last reported and decayed toward
         the mean of all servers; None before the first report."""
         self.penalty = 0.0
-        self.base = 0.0
-        self.inverse = 1.0 / self.slots
-        self.bias = 0.0
+        self.base_load = 0.0
+        self.inverse_slots = 1.0 / self.slots
+        self.far_load = 0.0
         self.connection_limit = 1
         self.draining = False
         """Whether an answer of this boot said that the server is leaving."""
         self.ramp_from: float | None = None
-        self.out: EjectionState | None = None
+        self.ejection_state: EjectionState | None = None
         self.reason = ""
         self.probe_at = now
         self.answered = 0
         self.failed = 0
         self.timed = 0
         self.slow = 0
-        self.told_at = now
+        self.evidence_sent_at = now
         self.doubts = Doubts()
         self.suspect_until = now
         """End of the current suspicion; until then first attempts avoid the server, unless
-        `spared`."""
+        `kept_by_floor`."""
         self.suspected_at = now
         """When the server was last suspected, because an instance saw it fail."""
         self.suspicions = 0
@@ -92,18 +92,18 @@
         limit."""
         self.resting_until = -inf
         """End of the rest that the server asked this instance for."""
-        self.spared = False
+        self.kept_by_floor = False
         """Whether it gets first attempts although suspected, as too many servers are suspected."""
 
     @property
     def load(self) -> float:
         """Return the load per slot that one more request would result in, penalty included."""
-        return (self.outstanding + 1 + self.base) * self.inverse
+        return (self.outstanding + 1 + self.base_load) * self.inverse_slots
 
     @property
     def known_load(self) -> float:
         """Return the known requests in progress per slot, without the penalty."""
-        return (self.outstanding + (self.others or 0.0)) / self.slots
+        return (self.outstanding + (self.other_load or 0.0)) / self.slots
 
     def set_turn(self, at: float) -> None:
         """Set when this instance's next turn begins."""
@@ -131,7 +131,7 @@
 
     def is_avoided(self, now: float) -> bool:
         """Return whether first attempts avoid the server: suspected, and not kept in use."""
-        return self.suspect_until > now and not self.spared
+        return self.suspect_until > now and not self.kept_by_floor
 
     @property
     def is_ready(self) -> bool:
@@ -143,9 +143,9 @@
         """Return whether there is unsent evidence against the server."""
         return self.failed > 0 or self.slow > 0
 
-    def take_evidence(self, now: float) -> ServerEvidence:
+    def pop_evidence(self, now: float) -> ServerEvidence:
         """Return the unsent evidence and reset its counts."""
         line = ServerEvidence(self.server_id, self.answered, self.failed, self.timed, self.slow)
         self.answered = self.failed = self.timed = self.slow = 0
-        self.told_at = now
+        self.evidence_sent_at = now
         return line
--- a/packages/decisions/src/persimmonusher_decisions/traffic.py
+++ b/packages/decisions/src/persimmonusher_decisions/traffic.py
@@ -191,9 +191,9 @@
         """
         return self._further.retry(self._profile, dispatch, outcome, now)
 
-    def take_notices(self) -> tuple[Notice, ...]:
+    def pop_notices(self) -> tuple[Notice, ...]:
         """Return and clear the notices to be sent to other instances at once."""
-        return (*self._suspicion.take_notices(), *self._advice.take_notices())
+        return (*self._suspicion.pop_notices(), *self._advice.pop_notices())
 
     def apply_notice(self, notice: Notice, now: float) -> bool:
         """Apply another instance's notice; return whether it changes how the server is used.
@@ -205,12 +205,14 @@
             return False
         if notice.kind is NoticeKind.LIMITED:
             self._limits.count_entries(self._live, now)
-            return self._advice.take_notice(notice, track, now)
+            return self._advice.apply_notice(notice, track, now)
         if notice.kind is NoticeKind.CRASHED:
             self._quarantine.record_remote_break(notice.fingerprint, notice.server_id, now)
-        return self._suspicion.take(notice, track, self._tracks.values(), self._profile, now)
+        return self._suspicion.apply_notice(
+            notice, track, self._tracks.values(), self._profile, now
+        )
 
-    def find_seconds_passed_by(self, server_id: ServerId, now: float) -> float:
+    def find_suspicion_seconds(self, server_id: ServerId, now: float) -> float:
         """Return the seconds for which first attempts still avoid a suspected server, or 0."""
         track = self._tracks.get(server_id)
         if track is None or not track.is_avoided(now):
@@ -231,16 +233,16 @@
         for track in self._tracks.values():
             total = loads.get(track.server_id, 0)
             if total or track.server.failure_domain == self._failure_domain:
-                self._placement.learn_load(track, total)
+                self._placement.record_load(track, total)
 
-    def take_advice(self, dispatch: Dispatch, advice: ServerAdvice, now: float) -> bool:
+    def apply_advice(self, dispatch: Dispatch, advice: ServerAdvice, now: float) -> bool:
         """Apply what a server's answer asks for; return whether it newly says that it leaves."""
         server = dispatch.server
         track = self._tracks.get(server.server_id)
         if track is None or track.server.boot_id != server.boot_id:
             return False
         self._limits.count_entries(self._live, now)
-        is_leaving = self._advice.take(track, dispatch, advice, now)
+        is_leaving = self._advice.apply(track, dispatch, advice, now)
         if is_leaving:
             self._rebuild(now)
         return is_leaving
@@ -263,12 +265,14 @@
         if kind not in (OutcomeKind.CANCELLED, OutcomeKind.WITHHELD):
             self._admission.record_attempt(kind is OutcomeKind.REFUSED)
         if kind is OutcomeKind.SUCCESS:
-            self._learning.take_success(attempt, outcome, now)
+            self._learning.learn_from_success(attempt, outcome, now)
         elif kind not in SILENT_KINDS:
-            self._learning.take_failure(attempt, outcome, self._tracks.values(), self._profile, now)
+            self._learning.learn_from_failure(
+                attempt, outcome, self._tracks.values(), self._profile, now
+            )
         elif kind is OutcomeKind.DRAINING:
             self._drop_draining(dispatch, now)
-        self._learning.take_load(track, outcome, now)
+        self._learning.learn_from_load(track, outcome, now)
         return self._release(now) if len(self._admission.queue) else ()
 
     def withdraw(self, request: Request) -> None:
@@ -282,7 +286,7 @@
         """
         self._limits.count_entries(self._live, now)
         self._evidence.mark_overdue(now)
-        for attempt in self._evidence.take_overdue(now):
+        for attempt in self._evidence.collect_newly_overdue(now):
             self._suspicion.suspect(attempt.track, self._tracks.values(), self._profile, now)
         if self._lease.expire(now):
             self._rebuild(now)
@@ -324,7 +328,7 @@
         return tuple(
             ServerStatus(
                 track.server,
-                track.is_ready and track.out is None,
+                track.is_ready and track.ejection_state is None,
                 track.reason or track.find_asked(now).value or track.server.state.value,
                 track.outstanding,
                 track.rate_limit,
@@ -364,7 +368,7 @@
 
     def _refuse_closed(self, request: Request, usual: float, now: float) -> Refusal | None:
         """Refuse a request if all servers stay closed to this instance until it is too late."""
-        closed = self._placement.find_seconds_closed(now)
+        closed = self._placement.find_seconds_until_open(now)
         if not closed or closed <= self._admission.find_wait_left(request, usual, now):
             return None
         return self._admission.refuse_closed(request, closed)
@@ -387,7 +391,7 @@
         if self._started:
             track.ramp_from = now
         if before is not None:
-            track.out = before.out
+            track.ejection_state = before.ejection_state
         return track
 
     def _rebuild(self, now: float) -> None:
--- a/packages/decisions/tests/test_suspicion.py
+++ b/packages/decisions/tests/test_suspicion.py
@@ -57,13 +57,13 @@
         dispatch = dispatched(first.offer(make_request("r"), 0.0))
         first.finish(dispatch, FAILED, 0.0)
         faulty = dispatch.server.server_id
-        (notice,) = first.take_notices()
+        (notice,) = first.pop_notices()
         self.assertEqual((notice.server_id, notice.kind), (faulty, NoticeKind.FAILED))
         second.apply_notice(notice, 0.01)
         for traffic in (first, second):
             self.assertEqual(serve(traffic, 60, 0.02)[faulty], 0)
         self.assertGreater(serve(second, 60, 0.1 + HOLD_SECONDS)[faulty], 0)
-        self.assertEqual(first.take_notices(), ())
+        self.assertEqual(first.pop_notices(), ())
 
     def test_the_floor_keeps_servers_when_most_fail(self) -> None:
         """Guards against overloading the last servers when all fail now and then.
@@ -118,14 +118,14 @@
         now, returns = 0.0, []
         for _ in range(5):
             traffic.apply_notice(make_notice(0), now)
-            while traffic.find_seconds_passed_by(ServerId("s0"), now):
+            while traffic.find_suspicion_seconds(ServerId("s0"), now):
                 now += 0.5
             returns.append(now)
         self.assertEqual(returns, [5.0, 15.0, 35.0, 55.0, 75.0])
         traffic.apply_notice(make_notice(0), 100.0)
         learned = LENGTHENING_FACTOR ** (len(returns) - 1)
         self.assertAlmostEqual(
-            traffic.find_seconds_passed_by(ServerId("s0"), 100.0),
+            traffic.find_suspicion_seconds(ServerId("s0"), 100.0),
             HOLD_SECONDS * learned,
             msg="a new fault, for the learned duration",
         )
@@ -199,7 +199,7 @@
     def see_failure(self, traffic: ServiceTraffic, name: str, now: float, seconds: float) -> Notice:
         dispatch = dispatched(traffic.offer(make_request(name, now), now))
         traffic.finish(dispatch, Outcome(OutcomeKind.FAILURE, seconds), now + seconds)
-        (notice,) = traffic.take_notices()
+        (notice,) = traffic.pop_notices()
         return notice
 
     def test_a_request_that_fails_after_its_work_is_no_proof_against_its_server(self) -> None:
@@ -215,7 +215,7 @@
         self.assertIs(notice.kind, NoticeKind.FAILED_LATE)
         for traffic in (first, second):
             traffic.apply_notice(notice, 1.1)
-            seconds = traffic.find_seconds_passed_by(notice.server_id, 1.2)
+            seconds = traffic.find_suspicion_seconds(notice.server_id, 1.2)
             self.assertEqual(seconds, 0.0, "its own notice sent back, or a single one")
         self.assertGreater(serve(second, 60, 1.2)[notice.server_id], 0)
 
@@ -286,9 +286,9 @@
             slots=6,
             requests_a_second=50.0,
             work_seconds=0.5,
-            ill_every=12.0,
-            ill_seconds=3.6,
-            ill_share=0.9,
+            fault_every=12.0,
+            fault_seconds=3.6,
+            fault_share=0.9,
             burst_factor=1.7,
         )
         profile = self.profile.model_copy(update={"suspect_ms": 4_000, "health_floor_percent": 44})
--- a/packages/node/src/persimmonusher_node/attempts.py
+++ b/packages/node/src/persimmonusher_node/attempts.py
@@ -106,7 +106,7 @@
 
     def _publish(self, live: LiveService) -> None:
         """Log and publish the notices about servers that this instance has collected."""
-        notices = live.traffic.take_notices()
+        notices = live.traffic.pop_notices()
         if not notices:
             return
         for notice in notices:
@@ -130,7 +130,7 @@
                 request_id=dispatch.request.request_id,
                 lines_left_out=self._lines.take_left_out(),
             )
-        if live.traffic.take_advice(dispatch, advice, self._clock.monotonic()):
+        if live.traffic.apply_advice(dispatch, advice, self._clock.monotonic()):
             self._note_draining(dispatch.server)
         self._publish(live)
 
@@ -224,7 +224,7 @@
         event = "server-limit"
         details: dict[str, object] = {"requests_a_second": notice.rate_limit}
     else:
-        excluded_seconds = live.traffic.find_seconds_passed_by(notice.server_id, now)
+        excluded_seconds = live.traffic.find_suspicion_seconds(notice.server_id, now)
         event = choose_event(notice, excluded_seconds)
         details = {"seconds": round(excluded_seconds, 1), "outcome": notice.kind.value}
     _log.info(
--- a/packages/node/src/persimmonusher_node/keeper.py
+++ b/packages/node/src/persimmonusher_node/keeper.py
@@ -16,7 +16,7 @@
 from grpclib._typing import IServable
 
 from persimmonusher_agreement.configuration_keeper import (
-    ANY_KEEPERS,
+    DEFAULT_TOLERANCE,
     SNAPSHOT_ENTRIES,
     ConfigurationKeeper,
     KeeperOutput,
@@ -98,7 +98,7 @@
         client: ConfigurationClient,
         random: Random | None = None,
         formation: KeeperFormation | None = None,
-        tolerance: LossTolerance = ANY_KEEPERS,
+        tolerance: LossTolerance = DEFAULT_TOLERANCE,
         timing: LogTiming = LogTiming(),  # noqa: B008 - frozen
     ) -> None:
         if settings.data_folder is None:
@@ -247,7 +247,7 @@
                 self._clock.monotonic(),
                 self._timing,
                 snapshot_entries=SNAPSHOT_ENTRIES,
-                compacts_itself=False,
+                compacts_on_flush=False,
                 tolerance=self._tolerance,
                 first_answer=self._random.getrandbits(FIRST_ANSWER_BITS),
             )
--- a/packages/node/src/persimmonusher_node/membership.py
+++ b/packages/node/src/persimmonusher_node/membership.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from persimmonusher_agreement.directory import Announced
+from persimmonusher_agreement.directory import AnnouncementResult
 from persimmonusher_agreement.member_record import MemberRecord, MemberState
 from persimmonusher_agreement.membership import FleetMembership
 from persimmonusher_agreement.membership_limits import MembershipLimits
@@ -76,7 +76,9 @@
         self.dropped_datagrams = 0
         """Number of datagrams received with a wrong tag or in an unknown version."""
         self.sent_bytes = 0
-        chosen = limits or MembershipLimits(heartbeat_timeout=settings.heartbeat_timeout_seconds)
+        chosen = limits or MembershipLimits(
+            heartbeat_timeout_seconds=settings.heartbeat_timeout_seconds
+        )
         own = make_own_record(settings, clock)
         self.fleet = FleetMembership(own, settings.seeds, random, chosen)
 
@@ -92,9 +94,9 @@
         """List the live instances that answer only through others, for operators."""
         return self.fleet.prober.cut_paths
 
-    def is_heard(self) -> bool:
+    def has_peer_contact(self) -> bool:
         """Return whether another instance has answered this one lately, or there is none."""
-        return self.fleet.is_heard
+        return self.fleet.has_peer_contact
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call back whenever `list_live` changes."""
@@ -104,7 +106,7 @@
         """Call back with the service whose backend servers changed."""
         self._on_servers_change.append(callback)
 
-    def announce(self, record: ServerRecord) -> Announced:
+    def announce(self, record: ServerRecord) -> AnnouncementResult:
         """Record a backend server's announcement and send other instances what they need of it."""
         announced, effects = self.fleet.announce(record, self._clock.monotonic())
         self._carry_out(effects)
--- a/packages/node/src/persimmonusher_node/tiers/follower.py
+++ b/packages/node/src/persimmonusher_node/tiers/follower.py
@@ -203,7 +203,7 @@
             **describe_freshness(self.find_freshness()),
         )
         self._place = None
-        self._choice.avoid(place.address, self._clock.monotonic() + avoid_seconds)
+        self._choice.avoid_until(place.address, self._clock.monotonic() + avoid_seconds)
 
     async def _pause(self) -> None:
         await asyncio.sleep(RETRY_PAUSE_SECONDS * self._random.uniform(0.5, 1.5))
@@ -314,7 +314,7 @@
             records, self._records = tuple(self._records), []
             since, revision = Revision(part.since), Revision(part.revision)
             self._view.take(Batch(part.lineage, since, revision, records, part.whole))
-            self.lease.hold(self._view.revision())
+            self.lease.record_revision(self._view.revision())
 
     def _check_better_keeper(self, place: KeeperPlace, followed: float) -> None:
         """After a minimum time with a keeper, raise BetterKeeperError if there is a better one."""
