--- a/deploy/persimmonusher.py
+++ b/deploy/persimmonusher.py
@@ -1,4 +1,4 @@
-"""Starts one process from the sources that the build put under target/."""
+"""Start one process from the sources that deploy/build.sh copied to target/."""
 
 import sys
 from pathlib import Path
--- a/tools/check_comments.py
+++ b/tools/check_comments.py
@@ -1,7 +1,7 @@
-"""Find comments of shipped code that tell of tuning, of runs, or of the users' bench.
+"""Find comments in shipped code that describe tuning, test runs or the users' benchmark.
 
-A comment is for the reader of today's code. Where a value comes from stands in the commit that
-brought it, or in docs/CAPACITY.md and docs/deciding.md, beside the run.
+Comments explain the present code. How a value was found belongs in its commit, or in
+docs/CAPACITY.md and docs/deciding.md beside the run.
 """
 
 import io
@@ -14,7 +14,7 @@
 from typing import Final
 
 ROOT: Final = Path(__file__).resolve().parent.parent
-FOLDERS: Final = (
+SHIPPED_FOLDERS: Final = (
     "packages/model/src",
     "packages/decisions/src",
     "packages/agreement/src",
@@ -22,7 +22,7 @@
     "packages/ctl/src",
     "platform/src",
 )
-TUNING: Final = re.compile(
+TUNING_PATTERN: Final = re.compile(
     r"\b(simulated|benchmark|fleetbench|the bench|played days?|journal entr|"
     r"in \w+ runs?\b|seeds? differ|was measured|were measured|measured on|"
     r"ms of processor|of a core|seen so far|took (a|an|one) \w+|were ejected)",
@@ -31,19 +31,19 @@
 
 
 @dataclass(frozen=True)
-class TuningStory:
-    """One line of a comment or docstring that tells where a value came from."""
+class TuningComment:
+    """One line of a comment or docstring that describes how a value was found."""
 
     path: str
     line: int
     text: str
 
     def __str__(self) -> str:
-        return f"{self.path}:{self.line}: a comment tells of tuning: {self.text}"
+        return f"{self.path}:{self.line}: comment describes how a value was found: {self.text}"
 
 
 def list_prose(source: str) -> Iterator[tuple[int, str]]:
-    """Yield each line of the comments and of the strings that stand alone, with its number."""
+    """Yield the number and text of each line in comments and in strings that are statements."""
     begins_statement = True
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type == tokenize.COMMENT or (token.type == tokenize.STRING and begins_statement):
@@ -54,22 +54,24 @@
             begins_statement = token.type in kinds
 
 
-def find_stories(source: str, path: str) -> list[TuningStory]:
-    """List the lines of one module's comments that tell of tuning."""
+def find_stories(source: str, path: str) -> list[TuningComment]:
+    """List the lines of one module's comments that describe how a value was found."""
     return [
-        TuningStory(path, line, text) for line, text in list_prose(source) if TUNING.search(text)
+        TuningComment(path, line, text)
+        for line, text in list_prose(source)
+        if TUNING_PATTERN.search(text)
     ]
 
 
 def main() -> int:
-    """Check all shipped modules and return the exit code."""
-    found: list[TuningStory] = []
-    for folder in FOLDERS:
+    """Print the findings in all shipped modules; return 1 if there are any, else 0."""
+    found: list[TuningComment] = []
+    for folder in SHIPPED_FOLDERS:
         for path in sorted((ROOT / folder).rglob("*.py")):
             if not path.name.endswith("_pb2.py"):
                 found.extend(find_stories(path.read_text(), str(path.relative_to(ROOT))))
-    for story in found:
-        print(story)
+    for finding in found:
+        print(finding)
     return 1 if found else 0
 
 
--- a/tools/generate_protocol.py
+++ b/tools/generate_protocol.py
@@ -1,6 +1,6 @@
 """Regenerate the protobuf and grpclib modules from the .proto files.
 
-The result is committed, so that neither building nor running needs the generator.
+The generated modules are committed, so that builds and runs need no generator.
 """
 
 import os
@@ -15,7 +15,7 @@
 
 def generate() -> int:
     """Run the compiler over each .proto file and return its exit code."""
-    # The compiler looks for its grpclib plugin on the path; it stands beside the interpreter.
+    # The compiler searches PATH for its grpclib plugin, which is installed beside the interpreter.
     plugins = str(Path(sys.executable).parent)
     os.environ["PATH"] = os.pathsep.join([plugins, os.environ.get("PATH", "")])
     protos = sorted(str(path.relative_to(SOURCE)) for path in SOURCE.rglob("*.proto"))
--- a/tools/write_profile_page.py
+++ b/tools/write_profile_page.py
@@ -1,4 +1,4 @@
-"""Write docs/reference/profiles.md from the profile's fields, so that the two can't differ."""
+"""Generate docs/reference/profiles.md from the profile's fields, so that the two can't differ."""
 
 from pathlib import Path
 from typing import Final
@@ -18,7 +18,7 @@
 
 
 def make_page() -> str:
-    """Return the page's text."""
+    """Return the page as Markdown."""
     rows = [_make_row(name) for name in Profile.model_fields]
     presets = [_make_preset(name) for name in PRESETS]
     return HEAD + "\n".join(rows) + "\n\n## Presets\n\n" + "\n".join(presets) + "\n"
